--- a/bench/fleet/batch.py
+++ b/bench/fleet/batch.py
@@ -6,7 +6,7 @@
 import typing
 
 from bench.fleet import engines
-from endivevane.serving import batch_places, giving_way, item_pace, model
+from endivevane.serving import batch_slots, item_estimates, model, preemption
 
 if typing.TYPE_CHECKING:
     from bench.fleet import simulation
@@ -30,14 +30,16 @@
     run: engines.Run | None = None
     engine: engines.Engine | None = None
 
-    def rate(self, now_s: float) -> item_pace.Urgency:
+    def rate(self, now_s: float) -> item_estimates.Urgency:
         """Return how urgent the item is, by the rule of the runner."""
         left_s = self.left_s
         if self.run is not None and self.run.began_s is not None:
             left_s -= now_s - self.run.began_s
         # One event a second, so that what is left counts in seconds.
-        pace = item_pace.ItemPace(event_s=1.0, events=max(0.0, left_s))
-        return pace.rate(0, self.due_s - now_s)
+        pace = item_estimates.ItemEstimator(
+            event_interval_s=1.0, events_per_item=max(0.0, left_s)
+        )
+        return pace.classify_urgency(0, self.due_s - now_s)
 
 
 class BatchPlay:
@@ -71,7 +73,7 @@
         self._items[owner.name].append(item)
 
     def _round(self, daemon: simulation.Daemon) -> None:
-        wait_s = max(batch_places.TICK_S, daemon.board.near_age_s)
+        wait_s = max(batch_slots.MIN_ROUND_INTERVAL_S, daemon.board.same_region_age_s)
         self._play.later(wait_s, self._round, daemon)
         daemon.choices.record_peaks(self._play.now_s)
         items = self._items[daemon.name]
@@ -89,14 +91,14 @@
         resting = frozenset(
             target
             for (name, target), yielded_s in self._yielded_s.items()
-            if name == daemon.name and now_s - yielded_s < batch_places.REST_S
+            if name == daemon.name and now_s - yielded_s < batch_slots.COOLDOWN_S
         )
         budgets: dict[bool, int] = {}
         starts = 0
         for item in ready:
-            if starts >= batch_places.STARTS_AT_ONCE:
+            if starts >= batch_slots.MAX_STARTS_PER_ROUND:
                 return
-            is_urgent = item.rate(now_s) is item_pace.Urgency.URGENT
+            is_urgent = item.rate(now_s) is item_estimates.Urgency.URGENT
             if is_urgent not in budgets:
                 budgets[is_urgent] = daemon.choices.draw_batch_share(
                     _SERVICE, now_s, is_urgent
@@ -145,16 +147,16 @@
             if item.run is not None and item.engine is not None:
                 by_engine.setdefault(item.engine.name, []).append(item)
         for name, running in by_engine.items():
-            surplus = daemon.choices.count_to_yield(self._play.targets[name])
+            surplus = daemon.choices.count_to_preempt(self._play.targets[name])
             if surplus <= 0:
                 continue
             self._yielded_s[daemon.name, name] = now_s
             batch = daemon.board.total(name).batch
             candidates = [
-                giving_way.Candidate(item, item.rate(now_s), item.started_s)
+                preemption.Candidate(item, item.rate(now_s), item.started_s)
                 for item in running
             ]
-            for item in giving_way.choose(candidates, surplus, batch):
+            for item in preemption.choose_items(candidates, surplus, batch):
                 self._cancel(daemon, item)
 
     def _cancel(self, daemon: simulation.Daemon, item: Item) -> None:
--- a/bench/fleet/simulation.py
+++ b/bench/fleet/simulation.py
@@ -12,13 +12,13 @@
 
 from bench.fleet import batch, engines, pattern
 from endivevane.serving import (
-    directory,
-    load_board,
+    load_table,
     model,
     peers,
-    placement,
     region_reports,
     store,
+    target_registry,
+    target_selection,
 )
 
 # Requests without a place are looked at this often.
@@ -42,8 +42,8 @@
 
     name: str
     region: int
-    board: load_board.LoadBoard
-    choices: placement.Placement
+    board: load_table.LoadTable
+    choices: target_selection.TargetSelector
     waiting: collections.deque[Request] = dataclasses.field(
         default_factory=collections.deque
     )
@@ -86,9 +86,9 @@
         self._view = view
         self._events: list[tuple[float, int, abc.Callable[[], None]]] = []
         self._numbers = itertools.count()
-        self._truth = load_board.LoadBoard()
+        self._truth = load_table.LoadTable()
         # What the coordinator of each region knows.
-        self._coordinators = [load_board.LoadBoard() for _ in played.daemons]
+        self._coordinators = [load_table.LoadTable() for _ in played.daemons]
         self._engines = {
             engine.name: engine
             for region, count in enumerate(played.targets)
@@ -149,7 +149,7 @@
     def _make_daemon(self, region: int, number: int) -> Daemon:
         zone = f"r{region}z{number % self.pattern.zones}"
         board = self._find_board(region)
-        known = directory.Directory(self._decode)
+        known = target_registry.TargetRegistry(self._decode)
         for version, name in enumerate(self._engines, 1):
             row_key = store.RowKey("targets", "", name)
             known.apply(store.Row(row_key, b"x", version), 0.0)
@@ -158,25 +158,27 @@
             for each in range(len(self.pattern.daemons))
             for item in range(self.pattern.zones)
         }
-        choices = placement.Placement(
-            placement.Location(zone, f"r{region}", regions),
+        choices = target_selection.TargetSelector(
+            target_selection.Location(zone, f"r{region}", regions),
             known,
             board,
             random.Random(self.generator.random()),
         )
         daemon = Daemon(f"r{region}d{number}", region, board, choices)
         if self._view is pattern.View.REPORTS:
-            board.near_age_s = peers.find_interval_s(self.pattern.daemons[region])
-        board.far_age_s = self._find_region_interval_s()
+            board.same_region_age_s = peers.find_interval_s(
+                self.pattern.daemons[region]
+            )
+        board.cross_region_age_s = self._find_region_interval_s()
         return daemon
 
-    def _find_board(self, region: int) -> load_board.LoadBoard:
+    def _find_board(self, region: int) -> load_table.LoadTable:
         """Return the board that a daemon of a region decides by."""
         if self._view is pattern.View.PERFECT:
             return self._truth
         if self._view is pattern.View.COORDINATED:
             return self._coordinators[region]
-        return load_board.LoadBoard()
+        return load_table.LoadTable()
 
     def _find_region_interval_s(self) -> float:
         """Return the time between two reports of a region."""
@@ -197,7 +199,7 @@
             port=1,
             availability_zone=f"r{engine.region}z{number % self.pattern.zones}",
             slots=engine.slots,
-            is_leaving=False,
+            is_draining=False,
         )
 
     def _schedule_arrival(self) -> None:
@@ -269,12 +271,12 @@
         if daemon.board.version == daemon.reported:
             return
         daemon.reported = daemon.board.version
-        report = load_board.LoadReport(
+        report = load_table.LoadReport(
             _copy_loads(daemon.board.own), self.now_s, daemon.board.own_waiting_items
         )
         self.later(_NEAR_DELAY_S, self._deliver, daemon, report)
 
-    def _deliver(self, sender: Daemon, report: load_board.LoadReport) -> None:
+    def _deliver(self, sender: Daemon, report: load_table.LoadReport) -> None:
         for daemon in self.daemons:
             if daemon.region == sender.region and daemon is not sender:
                 daemon.board.set_report(sender.name, report)
@@ -287,24 +289,24 @@
         members = [item for item in self.daemons if item.region == region]
         names = [item.name for item in members]
         board = members[0].board
-        report = load_board.LoadReport(
+        report = load_table.LoadReport(
             board.sum_with(names),
             self.now_s,
             board.sum_waiting_items(names),
-            is_of_region=True,
+            covers_region=True,
         )
         delay_s = self.pattern.region_delay_s + 2 * _NEAR_DELAY_S
         self.later(delay_s, self._deliver_region, region, report)
 
-    def _deliver_region(self, region: int, report: load_board.LoadReport) -> None:
+    def _deliver_region(self, region: int, report: load_table.LoadReport) -> None:
         for daemon in self.daemons:
             if daemon.region != region:
                 daemon.board.set_report(f"region {region}", report)
 
 
 def _copy_loads(
-    loads: abc.Mapping[str, load_board.Load],
-) -> dict[str, load_board.Load]:
+    loads: abc.Mapping[str, load_table.Load],
+) -> dict[str, load_table.Load]:
     return {
-        name: load_board.Load(load.online, load.batch) for name, load in loads.items()
+        name: load_table.Load(load.online, load.batch) for name, load in loads.items()
     }
--- a/features/steps/configuration_feed_steps.py
+++ b/features/steps/configuration_feed_steps.py
@@ -8,7 +8,7 @@
 from endivevane import testing
 from endivevane.cluster import events, messages, transport
 from endivevane.configuration import publishing
-from endivevane.coordination import exchange, feed, members
+from endivevane.coordination import feed, gossip_messages, members
 from endivevane.daemon import settings as daemon_settings
 from features.support import cluster_members
 
@@ -53,11 +53,13 @@
 
     def greet(self, task, address, public_key):
         self.transport.connect(task.session().daemon, address, public_key)
-        header = exchange.Header("outsider", 0)
+        header = gossip_messages.Header("outsider", 0)
         place = members.Description(self.address, "z1", "r1")
         update = members.Update("outsider", 0, members.MemberState.ALIVE, place)
-        greeting = exchange.Header("outsider", 0, updates=(update,))
-        self.transport.send(task.session().daemon, exchange.SyncRequest(greeting, 0))
+        greeting = gossip_messages.Header("outsider", 0, updates=(update,))
+        self.transport.send(
+            task.session().daemon, gossip_messages.SyncRequest(greeting, 0)
+        )
         self.transport.send(task.session().daemon, messages.ConfigGet(header, {}))
 
     def listen(self, duration_s):
@@ -113,7 +115,7 @@
 def step_send_old(context):
     keys = context.group.keys[0]
     probe = Probe(context, keys)
-    header = exchange.Header("outsider", 0, 1, 1)
+    header = gossip_messages.Header("outsider", 0, 1, 1)
     old = cluster_members.make_documents(0).documents["fleet"]
     rows = messages.ConfigRows(header, 1, "accepted", {"fleet": 1}, {"fleet": old})
     for number, task in enumerate(context.group.tasks):
@@ -361,7 +363,7 @@
     task.subscribe(context.received.append)
     address = context.group.addresses[0]
     probe.transport.connect("d0", address, context.group.keys[0]["public"])
-    header = exchange.Header(sender, 0)
+    header = gossip_messages.Header(sender, 0)
     body = {"job_id": f"{owner}-{sender}-{origin}"}
     message = messages.Application(header, "job_cancelled", body, origin)
     probe.transport.send("d0", message)
--- a/features/steps/coordinated_places_steps.py
+++ b/features/steps/coordinated_places_steps.py
@@ -4,11 +4,11 @@
 
 from endivevane.serving import (
     coordinator,
-    item_pace,
-    place_client,
-    place_messages,
-    places,
-    roster,
+    item_estimates,
+    peer_registry,
+    slot_client,
+    slot_messages,
+    slot_registry,
 )
 from features.support import serving_fakes
 
@@ -34,7 +34,7 @@
 
     def ask(self, name, objective_s=0.3, **fields):
         self._numbers[name] += 1
-        message = place_messages.Ask(
+        message = slot_messages.Acquire(
             incarnation="run",
             number=self._numbers[name],
             service="lm",
@@ -48,14 +48,14 @@
 
     def send(self, name, message):
         # Each message takes the way that it takes between two daemons.
-        data = place_messages.encode(message)
+        data = slot_messages.encode(message)
         kind, *fields = serving_fakes.load(data)
-        self.coordinator.take(name, place_messages.decode(kind, fields), self.now_s)
+        self.coordinator.handle(name, slot_messages.decode(kind, fields), self.now_s)
 
     def list_granted(self):
         found = {}
         for name, message in self.told:
-            if isinstance(message, place_messages.Granted):
+            if isinstance(message, slot_messages.Granted):
                 found[(name, message.number)] = message.target_id
         return found
 
@@ -64,14 +64,14 @@
 
     def free(self, count):
         for (name, number), _ in list(self.list_granted().items())[:count]:
-            self.send(name, place_messages.Ended("run", number, 0.5, 0.1))
+            self.send(name, slot_messages.Release("run", number, 0.5, 0.1))
 
     def list_loads(self):
         return [self.fleet.board.total(name).total for name in self.names]
 
     def list_holdings(self, name):
         return [
-            places.Holding(number, target_id, False)
+            slot_registry.HeldSlot(number, target_id, False)
             for (holder, number), target_id in self.list_granted().items()
             if holder == name
         ]
@@ -103,8 +103,8 @@
 def step_granted(context, granted, rest):
     region = context.region
     assert len(region.list_granted()) == granted
-    waiting = region.count(place_messages.Queued)
-    refused = region.count(place_messages.Refused)
+    waiting = region.count(slot_messages.Queued)
+    refused = region.count(slot_messages.Refused)
     assert waiting + refused == rest, (waiting, refused)
 
 
@@ -140,7 +140,7 @@
     granted = [
         message
         for _, message in context.region.told
-        if isinstance(message, place_messages.Granted)
+        if isinstance(message, slot_messages.Granted)
     ]
     assert len(granted) == times and len(set(granted)) == 1, granted
     assert sum(context.region.list_loads()) == count
@@ -150,7 +150,7 @@
 def step_deputy(context):
     context.deputy = Region(len(context.region.daemons), len(context.region.names))
     for name in context.region.daemons:
-        context.deputy.coordinator.take_holdings(
+        context.deputy.coordinator.apply_held_slots(
             name, "run", context.region.list_holdings(name), context.deputy.now_s
         )
 
@@ -177,7 +177,7 @@
     for _ in range(count):
         region.ask("d0")
     region.now_s += after_s
-    region.coordinator.take_holdings("d0", "run", [], region.now_s)
+    region.coordinator.apply_held_slots("d0", "run", [], region.now_s)
 
 
 @when("a daemon gets {count:d} places and {fate}")
@@ -186,7 +186,7 @@
     for _ in range(count):
         region.ask("d0")
     if fate == "starts again":
-        region.coordinator.take_holdings("d0", "second run", [], region.now_s)
+        region.coordinator.apply_held_slots("d0", "second run", [], region.now_s)
         return
     region.now_s += 2.0
     region.coordinator.tick(region.now_s)
@@ -204,12 +204,12 @@
 def step_batch_pulse(context, items, online):
     region = context.region
     for name in region.daemons[:items]:
-        urgency = int(item_pace.Urgency.NORMAL)
+        urgency = int(item_estimates.Urgency.NORMAL)
         region.ask(name, objective_s=15.0, is_batch=True, urgency=urgency)
     assert len(region.list_granted()) == items, region.told
     for name in region.daemons[items : items + online]:
         # The target takes one request more than its slots.
-        region.fleet.board.give("t0", False)
+        region.fleet.board.add_granted("t0", False)
         del name
 
 
@@ -217,7 +217,7 @@
 def step_leave(context, after_s, count):
     region = context.region
     region.coordinator.tick(region.now_s + after_s)
-    assert region.count(place_messages.GiveWay) == count, region.told
+    assert region.count(slot_messages.Preempt) == count, region.told
 
 
 @given("{count:d} online requests that fill it and {waiting:d} that waits")
@@ -237,12 +237,12 @@
             name, objective_s=10.0, is_batch=True, urgency=int(urgency)
         ).number
         for name, urgency in (
-            ("d2", item_pace.Urgency.NORMAL),
-            ("d3", item_pace.Urgency.URGENT),
+            ("d2", item_estimates.Urgency.NORMAL),
+            ("d3", item_estimates.Urgency.URGENT),
         )
     }
-    context.normal = ("d2", numbers[item_pace.Urgency.NORMAL])
-    context.urgent = ("d3", numbers[item_pace.Urgency.URGENT])
+    context.normal = ("d2", numbers[item_estimates.Urgency.NORMAL])
+    context.urgent = ("d3", numbers[item_estimates.Urgency.URGENT])
 
 
 @then("the waiting request has got a place before the items")
@@ -262,7 +262,7 @@
 
 @when("an urgent batch item asks for a place and {count:d} place becomes free")
 def step_urgent_item(context, count):
-    urgency = int(item_pace.Urgency.URGENT)
+    urgency = int(item_estimates.Urgency.URGENT)
     message = context.region.ask("d2", objective_s=5.0, is_batch=True, urgency=urgency)
     context.urgent = ("d2", message.number)
     context.region.free(count)
@@ -305,12 +305,14 @@
 def step_batch_client(context, asked, got):
     context.sent = []
     fleet = serving_fakes.Fleet(["t0"])
-    members = roster.Roster(roster.Identity("d0", "near", "run", "10.0.0.0", 1))
+    members = peer_registry.PeerRegistry(
+        peer_registry.Identity("d0", "near", "run", "10.0.0.0", 1)
+    )
     for number in range(1, 20):
         host = f"10.0.0.{number}"
-        members.add(roster.Peer(f"d{number}", "near", host, 1, "run"))
-    context.book = places.PlaceBook(fleet.board)
-    context.client = place_client.PlaceClient(
+        members.add(peer_registry.Peer(f"d{number}", "near", host, 1, "run"))
+    context.book = slot_registry.SlotRegistry(fleet.board)
+    context.client = slot_client.SlotClient(
         members._identity,
         "z1",
         members,
@@ -319,11 +321,11 @@
         lambda name, message: context.sent.append((name, message)),
     )
     for _ in range(asked):
-        context.client.find_batch("lm", item_pace.Urgency.NORMAL, 10.0)
+        context.client.find_batch("lm", item_estimates.Urgency.NORMAL, 10.0)
     context.asks = list(context.sent)
     for name, message in context.asks[:got]:
-        context.client.take(name, place_messages.Granted(message.number, "t0"))
-    assert len(context.book.list_holdings()) == got
+        context.client.handle(name, slot_messages.Granted(message.number, "t0"))
+    assert len(context.book.list_held()) == got
 
 
 @when("it has no more items")
@@ -333,11 +335,11 @@
 
 @then("it holds no place and has given up all {count:d}")
 def step_gave_up(context, count):
-    assert not context.book.list_holdings()
+    assert not context.book.list_held()
     ended = {
         message.number
         for _, message in context.sent
-        if isinstance(message, place_messages.Ended)
+        if isinstance(message, slot_messages.Release)
     }
     assert ended == {message.number for _, message in context.asks}
     assert len(ended) == count
--- a/features/steps/fleet_commands_steps.py
+++ b/features/steps/fleet_commands_steps.py
@@ -11,7 +11,7 @@
 
 from endivevane.ctl import main
 from endivevane.entry import membership
-from endivevane.serving import jobs, roster
+from endivevane.serving import jobs, peer_registry
 from features.support import serving_processes, serving_world
 from standins import row_store
 
@@ -83,7 +83,7 @@
             jobs.PARTITION,
             jobs.MEMBER_PREFIX + "front-1",
             membership.encode_member(
-                roster.Identity("front-1", "r1", "ab", "10.0.0.1", 7660, 2.15)
+                peer_registry.Identity("front-1", "r1", "ab", "10.0.0.1", 7660, 2.15)
             ),
         ),
     ]
--- a/features/steps/key_rotation_steps.py
+++ b/features/steps/key_rotation_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from endivevane.cluster import transport
-from endivevane.coordination import exchange
+from endivevane.coordination import gossip_messages
 from endivevane.daemon import settings as daemon_settings
 from features.support import cluster_members, key_rotation
 from tools import fleet_plan, ports
@@ -23,7 +23,9 @@
 
 def _exchange(sender, receiver, name, limit_s):
     """Send until something arrives, and tell whether it did."""
-    message = exchange.Ping(exchange.Header(sender[1].daemon.name, 1, 0, 0), 1)
+    message = gossip_messages.Ping(
+        gossip_messages.Header(sender[1].daemon.name, 1, 0, 0), 1
+    )
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s:
         sender[0].send(name, message)
--- a/features/steps/leases_steps.py
+++ b/features/steps/leases_steps.py
@@ -111,8 +111,8 @@
 
 @then("the fencing number is higher than the old one")
 def step_check_number(context):
-    number = context.fences["d2"].find("g1").fencing_number
-    assert number > context.old.fencing_number, (number, context.old)
+    number = context.fences["d2"].find("g1").fencing_token
+    assert number > context.old.fencing_token, (number, context.old)
 
 
 @when("the owner is paused past its term")
--- a/features/steps/misbehaving_targets_steps.py
+++ b/features/steps/misbehaving_targets_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from endivevane.serving import directory, http_client
+from endivevane.serving import http_client, target_registry
 from features.support import serving_fakes, serving_world
 from standins import replica
 
@@ -41,13 +41,15 @@
         number = 0
         while not world.replicas["a"].runs:
             request = serving_world.make_request(attempt=f"attempt{number}")
-            replies.append(await serving_world.ask(world.port, request))
+            replies.append(await serving_world.send_request(world.port, request))
             number += 1
         requests = [
             serving_world.make_request(attempt=f"attempt{number + each}")
             for each in range(count)
         ]
-        asked = [serving_world.ask(world.port, request) for request in requests]
+        asked = [
+            serving_world.send_request(world.port, request) for request in requests
+        ]
         return replies + await asyncio.gather(*asked)
 
     context.replies = serving_world.play(context, play)
@@ -56,10 +58,12 @@
 @given("a target that has said that it leaves")
 def step_said(context):
     context.targets = {"t0": serving_fakes.make_target("t0", born=1)}
-    context.directory = directory.Directory(lambda key, _value: context.targets[key])
+    context.directory = target_registry.TargetRegistry(
+        lambda key, _value: context.targets[key]
+    )
     row = serving_fakes.make_row("t0", b"x", 1)
     context.directory.apply(row, 0.0)
-    context.directory.record_leaving(context.directory.find("t0"))
+    context.directory.record_draining(context.directory.find("t0"))
 
 
 @when("its registration lapses and comes back {how}")
@@ -125,7 +129,7 @@
 @then("the answer is not whole and belongs to one target")
 def step_not_joined(context):
     reply = context.reply
-    assert not reply.is_whole, len(reply.body)
+    assert not reply.is_complete, len(reply.body)
     # Half of one answer at most: more would be the bytes of two.
     assert len(reply.body) <= 1_500_000, len(reply.body)
 
--- a/features/steps/orders_fencing_steps.py
+++ b/features/steps/orders_fencing_steps.py
@@ -108,7 +108,7 @@
 def step_check_adopted(context):
     row = context.rivals.store.rows(fencing.TABLE)[engine_owners.GROUP]
     owned = context.rivals.owners[0].owner.ownership
-    assert owned.fencing_number == row.revision
+    assert owned.fencing_token == row.revision
     written = context.rivals.store.count_writes(fencing.TABLE, engine_owners.GROUP)
     assert written == 1, written
 
@@ -251,7 +251,7 @@
     checks = "--ignore-fencing" not in context.engine.process.arguments
     _make_socket_rivals(context, checks)
     _run_first_until_loaded(context)
-    context.old_number = context.rivals.owners[0].owner.ownership.fencing_number
+    context.old_number = context.rivals.owners[0].owner.ownership.fencing_token
     context.orders_before = len(context.engine.record()["orders"])
     context.rivals.pause_first_until_taken_over()
     context.acquired_s = context.rivals.clock.monotonic_s()
@@ -310,7 +310,7 @@
         _wait_idle(context)
     assert _held(context) == {"small-lm", "other-lm"}
     last = context.engine.record()["orders"][-1]
-    number = context.rivals.owners[1].owner.ownership.fencing_number
+    number = context.rivals.owners[1].owner.ownership.fencing_token
     assert (last["action"], last["fencing_number"]) == ("load_model", number), last
 
 
--- a/features/steps/orders_roles_steps.py
+++ b/features/steps/orders_roles_steps.py
@@ -94,7 +94,7 @@
 )
 def step_make_engines(context, count, share):
     context.share = share
-    context.keeper = roles.RoleKeeper()
+    context.keeper = roles.RoleAssigner()
     context.views = [_view(f"e{n}", "a" if n < 2 else "b") for n in range(count)]
 
 
@@ -160,7 +160,7 @@
     service = current.services["answers"]
     assert isinstance(service.model, models.ServiceModel)
     views = [_view(name, "a") for name in context.names]
-    return roles.RoleKeeper().compute(service.model, service.targets, views, 3)
+    return roles.RoleAssigner().compute(service.model, service.targets, views, 3)
 
 
 @then("all 3 engines get the role both")
--- a/features/steps/region_coordinator_steps.py
+++ b/features/steps/region_coordinator_steps.py
@@ -3,7 +3,7 @@
 
 from behave import given, then, when
 
-from endivevane.serving import peer_messages, places, roster
+from endivevane.serving import peer_messages, peer_registry, slot_registry
 from features.support import region_daemons
 
 
@@ -88,7 +88,9 @@
 @then("{count:d} places are given within {limit_ms:d} ms each")
 def step_given(context, count, limit_ms):
     given_s = [
-        took_s for answer, took_s in context.answers if isinstance(answer, places.Place)
+        took_s
+        for answer, took_s in context.answers
+        if isinstance(answer, slot_registry.Slot)
     ]
     assert len(given_s) == count, context.answers
     assert max(given_s) <= limit_ms / 1000, max(given_s)
@@ -176,8 +178,8 @@
 
         async def serve(daemon):
             answer, _ = await daemon.ask(objective_s=3.0)
-            if isinstance(answer, places.Place):
-                held = daemon.book.list_holdings()
+            if isinstance(answer, slot_registry.Slot):
+                held = daemon.book.list_held()
                 context.held.append(len(held))
                 await asyncio.sleep(0.3)
                 daemon.admission.release(answer, 0.3)
@@ -235,22 +237,24 @@
 
 
 def _make_run(incarnation, heard_s=0.0):
-    return roster.Peer("d1", "near", "10.0.0.1", 1, incarnation, heard_s=heard_s)
+    return peer_registry.Peer(
+        "d1", "near", "10.0.0.1", 1, incarnation, last_seen_s=heard_s
+    )
 
 
 @given("a daemon that starts again")
 def step_starts_again(context):
-    identity = roster.Identity("d0", "near", "run", "10.0.0.0", 1)
-    context.roster = roster.Roster(identity)
+    identity = peer_registry.Identity("d0", "near", "run", "10.0.0.0", 1)
+    context.roster = peer_registry.PeerRegistry(identity)
     context.roster.add(_make_run("first"))
-    context.roster.note_heard(_make_run("first", time.monotonic()))
+    context.roster.record_heartbeat(_make_run("first", time.monotonic()))
 
 
 @when("its row comes {when} its first report")
 def step_row(context, when):
     if when == "before":
         context.roster.add(_make_run("second"))
-    context.roster.note_heard(_make_run("second", time.monotonic()))
+    context.roster.record_heartbeat(_make_run("second", time.monotonic()))
     if when == "after":
         context.roster.add(_make_run("second"))
 
@@ -259,18 +263,20 @@
 def step_stranger(context, named):
     now_s = time.monotonic()
     state = context.roster.describe_region("near", now_s, now_s)
-    assert [item.name for item in state.strangers] == (["d1"] if named == "yes" else [])
+    assert [item.name for item in state.unregistered] == (
+        ["d1"] if named == "yes" else []
+    )
 
 
 @when("notices name nobody as silent before and after its new row")
 def step_new_run(context):
     # A daemon that does not coordinate hears of the other one by rows and notices only.
-    identity = roster.Identity("d0", "near", "run", "10.0.0.0", 1)
-    context.roster = roster.Roster(identity)
+    identity = peer_registry.Identity("d0", "near", "run", "10.0.0.0", 1)
+    context.roster = peer_registry.PeerRegistry(identity)
     state = peer_messages.RegionState("near")
     for incarnation in ("first", "second"):
         context.roster.add(_make_run(incarnation))
-        context.roster.note_state(state, time.monotonic())
+        context.roster.apply_region_state(state, time.monotonic())
 
 
 @then("its new run is alive and its former run is not")
--- a/features/steps/register_steps.py
+++ b/features/steps/register_steps.py
@@ -87,7 +87,7 @@
 def step_check_waiting(context, later, lost):
     counts = [
         context.recordings.count(item)
-        for item in (register.Recording.LATER, register.Recording.LOST)
+        for item in (register.RecordStatus.DEFERRED, register.RecordStatus.LOST)
     ]
     assert counts == [later, lost], context.recordings
 
@@ -129,7 +129,7 @@
     assert len(context.answer.body) == size
     context.fleet.store.set_faults(down=True)
     recording = context.keeper.keep(claim, context.answer)
-    assert recording is register.Recording.LATER, recording
+    assert recording is register.RecordStatus.DEFERRED, recording
 
 
 @then("it is not restored before the object store is back")
--- a/features/steps/serving_decisions_steps.py
+++ b/features/steps/serving_decisions_steps.py
@@ -8,14 +8,14 @@
 
 from bench.fleet import pattern, simulation
 from endivevane.serving import (
-    even_fill,
-    item_pace,
-    load_board,
+    item_estimates,
+    load_table,
     newest_version,
+    peer_registry,
     peers,
-    place_queue,
-    places,
-    roster,
+    slot_queue,
+    slot_registry,
+    water_filling,
 )
 from features.support import serving_fakes
 
@@ -77,14 +77,14 @@
 @given("targets of 8 slots with costs {first:g}, {second:g} and {third:g}")
 def step_costs(context, first, second, third):
     context.candidates = [
-        even_fill.Candidate(serving_fakes.make_target(f"t{number}"), cost)
+        water_filling.Candidate(serving_fakes.make_target(f"t{number}"), cost)
         for number, cost in enumerate((first, second, third))
     ]
 
 
 @when("{amount:d} requests are shared out over them")
 def step_share_out(context, amount):
-    context.shares = even_fill.weigh(context.candidates, amount)
+    context.shares = water_filling.weigh(context.candidates, amount)
 
 
 @then("they get {first:d}, {second:d} and {third:d} of them")
@@ -96,7 +96,7 @@
 
 @given("the loads of the other region are {age_s:g} s old")
 def step_far_age(context, age_s):
-    context.fleet.board.far_age_s = age_s
+    context.fleet.board.cross_region_age_s = age_s
 
 
 @then("an online request goes to the first target")
@@ -161,7 +161,7 @@
     else:
         health.begin_call(now_s - 2.0)
         health.begin_events()
-        health.record_heard(now_s - 2.0)
+        health.record_data(now_s - 2.0)
 
 
 def _choose(context):
@@ -214,7 +214,7 @@
             fleet = serving_fakes.Fleet(["t0"], seed=seed * owners + owner)
             fleet.report("others", {"t0": (online, owners - 1)})
             fleet.board.begin("t0", is_batch=True)
-            yielded += fleet.choices.count_to_yield(fleet.targets["t0"])
+            yielded += fleet.choices.count_to_preempt(fleet.targets["t0"])
     context.mean = yielded / times / surplus
 
 
@@ -231,7 +231,7 @@
 
 def _wish(priority, objective_s, left_s=5.0):
     now_s = time.monotonic()
-    return place_queue.Wish(
+    return slot_queue.SlotRequest(
         service="lm",
         priority=priority,
         objective_s=now_s + objective_s,
@@ -270,7 +270,7 @@
             # A target takes one request more than its slots; those placed before are
             # counted here already.
             context.fleet.report("peer", {"t0": (free, 0)})
-            context.places.pump()
+            context.places.dispatch()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         await asyncio.wait(tasks, timeout=1)
@@ -311,7 +311,7 @@
 
 @then("it is refused within {limit_ms:d} ms")
 def step_refused(context, limit_ms):
-    assert isinstance(context.granted, place_queue.Refused), context.granted
+    assert isinstance(context.granted, slot_queue.Refused), context.granted
     assert context.took_s <= limit_ms / 1000, context.took_s
 
 
@@ -326,7 +326,7 @@
         task = asyncio.ensure_future(context.places.acquire(_wish(0, 1)))
         await asyncio.sleep(0)
         context.fleet.report("peer", {"t0": (3, 0)})
-        context.places.pump()
+        context.places.dispatch()
         assert context.fleet.board.total("t0").online == 4
         task.cancel()
         await asyncio.wait((task,))
@@ -402,11 +402,11 @@
     async def run():
         for number in range(count):
             host, region = f"10.0.0.{number}", f"r{number % 2}"
-            identity = roster.Identity(f"d{number}", region, "run", host, 1)
-            board = load_board.LoadBoard()
+            identity = peer_registry.Identity(f"d{number}", region, "run", host, 1)
+            board = load_table.LoadTable()
             newest = newest_version.NewestVersion()
-            members = roster.Roster(identity)
-            book = places.PlaceBook(board)
+            members = peer_registry.PeerRegistry(identity)
+            book = slot_registry.SlotRegistry(board)
             network = peers.PeerNetwork(
                 identity, members, board, newest, book, lambda: None
             )
@@ -417,11 +417,13 @@
         for _, members, _ in context.daemons:
             for number in range(count):
                 region = f"r{number % 2}"
-                peer = roster.Peer(f"d{number}", region, f"10.0.0.{number}", 1, "run")
+                peer = peer_registry.Peer(
+                    f"d{number}", region, f"10.0.0.{number}", 1, "run"
+                )
                 members.add(peer)
         for _ in range(load):
             context.daemons[0][2].begin("t0", is_batch=False)
-        context.newest[0].note(7)
+        context.newest[0].record(7)
         for _ in range(2):
             context.daemons[0][2].outcomes.record("t0", time.monotonic(), 1.0)
         tasks = [asyncio.ensure_future(item.run()) for item, _, _ in context.daemons]
@@ -448,7 +450,7 @@
 def step_heard_everywhere(context):
     now_s = time.monotonic()
     shares = [
-        board.outcomes.find_failed_share("t0", now_s) for _, _, board in context.daemons
+        board.outcomes.find_failure_rate("t0", now_s) for _, _, board in context.daemons
     ]
     assert min(shares) > 0, shares
     assert [newest.value for newest in context.newest] == [7] * len(shares)
@@ -479,11 +481,11 @@
         ]
         await asyncio.sleep(0)
         wish = _wish(0, objective_ms / 1000)
-        wish = dataclasses.replace(wish, may_return=which == "first")
+        wish = dataclasses.replace(wish, may_retry=which == "first")
         asked = asyncio.ensure_future(context.places.acquire(wish))
         done, _ = await asyncio.wait((asked,), timeout=0.05)
         context.is_refused = bool(done) and isinstance(
-            asked.result(), place_queue.Refused
+            asked.result(), slot_queue.Refused
         )
         context.advice_s = context.places.queue.retry_after_s("lm")
         for task in (*waiting, asked):
@@ -519,12 +521,12 @@
 
 @given("items of {events:d} events that take {event_ms:d} ms each")
 def step_pace(context, events, event_ms):
-    context.pace = item_pace.ItemPace()
+    context.pace = item_estimates.ItemEstimator()
     for _ in range(60):
         context.pace.record_run(events, events * event_ms / 1000)
-    context.pace.record_whole(events)
+    context.pace.record_item(events)
 
 
 @then("an item with {events:d} events so far and {left_s:g} s left is {urgency}")
 def step_urgency(context, events, left_s, urgency):
-    assert context.pace.rate(events, left_s).name == urgency
+    assert context.pace.classify_urgency(events, left_s).name == urgency
--- a/features/steps/serving_online_steps.py
+++ b/features/steps/serving_online_steps.py
@@ -102,11 +102,11 @@
 def step_late_configuration(context, late_ms):
     def prepare(world):
         table, world.door.table = world.door.table, None
-        world.door.is_open.clear()
+        world.door.is_ready.clear()
 
         def learn():
             world.door.table = table
-            world.door.is_open.set()
+            world.door.is_ready.set()
 
         asyncio.get_running_loop().call_later(late_ms / 1000, learn)
 
@@ -117,7 +117,9 @@
 def step_ask(context):
     context.reply = serving_world.play(
         context,
-        lambda world: serving_world.ask(world.port, serving_world.make_request()),
+        lambda world: serving_world.send_request(
+            world.port, serving_world.make_request()
+        ),
     )
 
 
@@ -125,7 +127,7 @@
 def step_ask_path(context, path):
     request = serving_world.make_request(path=path)
     context.reply = serving_world.play(
-        context, lambda world: serving_world.ask(world.port, request)
+        context, lambda world: serving_world.send_request(world.port, request)
     )
 
 
@@ -135,7 +137,7 @@
         replies = []
         for number in range(count):
             request = serving_world.make_request(attempt=f"attempt{number}")
-            replies.append(await serving_world.ask(world.port, request))
+            replies.append(await serving_world.send_request(world.port, request))
         return replies
 
     context.replies = serving_world.play(context, play)
@@ -148,7 +150,9 @@
             serving_world.make_request(attempt=f"attempt{number}")
             for number in range(count)
         ]
-        asked = [serving_world.ask(world.port, request) for request in requests]
+        asked = [
+            serving_world.send_request(world.port, request) for request in requests
+        ]
         return await asyncio.gather(*asked)
 
     context.replies = serving_world.play(context, play)
@@ -160,7 +164,7 @@
         replies = []
         for number in range(count):
             request = serving_world.make_request(attempt=f"attempt{number}")
-            replies.append(await serving_world.ask(world.port, request))
+            replies.append(await serving_world.send_request(world.port, request))
             await asyncio.sleep(pause_ms / 1000)
         return replies
 
@@ -172,7 +176,7 @@
     now_s = time.monotonic()
     known = context.world.directory.find("a")
     assert not known.health.is_paused(now_s)
-    assert context.world.board.outcomes.find_failed_share("a", now_s) == 0.0
+    assert context.world.board.outcomes.find_failure_rate("a", now_s) == 0.0
 
 
 def _expect(attempt, count):
@@ -183,13 +187,13 @@
 def step_whole(context, count):
     assert context.reply.status == 200, context.reply
     assert context.reply.body == _expect("abc", count), context.reply
-    assert context.reply.is_whole
+    assert context.reply.is_complete
 
 
 @then("it gets {count:d} events and no end")
 def step_truncated(context, count):
     assert context.reply.body == _expect("abc", count), context.reply
-    assert not context.reply.is_whole
+    assert not context.reply.is_complete
 
 
 @then("it has the signature of a target that ran it")
@@ -230,7 +234,7 @@
 def step_all_whole(context, count):
     for number, reply in enumerate(context.replies):
         assert reply.body == _expect(f"attempt{number}", count), (number, reply)
-        assert reply.is_whole
+        assert reply.is_complete
 
 
 @then("the answer says when to come back")
@@ -280,7 +284,7 @@
             item.manner = replica.Manner(gap_s=0.02, pause_after=3, pauses=1)
             item.manner = first.manner
         request = serving_world.make_request()
-        return await serving_world.ask(world.port, request)
+        return await serving_world.send_request(world.port, request)
 
     context.reply = serving_world.play(context, play)
 
@@ -327,5 +331,5 @@
 @when("a client sends {name}")
 def step_send(context, name):
     context.reply = serving_world.play(
-        context, lambda world: serving_world.ask(world.port, _INPUTS[name])
+        context, lambda world: serving_world.send_request(world.port, _INPUTS[name])
     )
--- a/features/steps/serving_outcomes_steps.py
+++ b/features/steps/serving_outcomes_steps.py
@@ -8,10 +8,10 @@
 from endivevane.serving import (
     attempts,
     failures,
-    load_board,
+    load_table,
     model,
-    outcome_board,
     outcome_recorder,
+    outcome_table,
     peer_messages,
 )
 from features.support import serving_fakes
@@ -75,9 +75,9 @@
 
     def _share(self, now_s):
         reports = [
-            load_board.LoadReport(
+            load_table.LoadReport(
                 loads={
-                    name: load_board.Load(load.online, load.batch)
+                    name: load_table.Load(load.online, load.batch)
                     for name, load in daemon.board.own.items()
                 },
                 received_s=now_s,
@@ -131,10 +131,10 @@
 
 def _tell(context, peers, answers, names):
     for peer in range(peers):
-        report = load_board.LoadReport(
+        report = load_table.LoadReport(
             loads={},
             received_s=time.monotonic(),
-            outcomes={name: outcome_board.Outcomes(answers, answers) for name in names},
+            outcomes={name: outcome_table.Outcomes(answers, answers) for name in names},
         )
         context.fleet.board.set_report(f"peer{peer}", report)
 
@@ -206,7 +206,7 @@
         b"POST", "shop.example", "/1", (), b"", b"a", now_s, now_s + 5.0
     )
     progress = attempts.begin(request, route, "lm", 1)
-    progress.placed_s = now_s
+    progress.slot_granted_s = now_s
     return progress
 
 
@@ -244,7 +244,7 @@
         "t0",
         answer,
         may_have_run="no connection" not in answer,
-        is_bad_answer=answer == "broken off",
+        is_target_fault=answer == "broken off",
     )
     recorder.record_error(target, error)
 
@@ -252,13 +252,13 @@
 @then("it {counts} against the target")
 def step_counts(context, counts):
     outcomes = context.fleet.board.outcomes
-    share = outcomes.find_failed_share("t0", time.monotonic())
+    share = outcomes.find_failure_rate("t0", time.monotonic())
     assert (share > 0) == (counts == "counts"), share
 
 
 @when('a daemon that has seen 2 of 5 answers of "{name}" fail reports to another one')
 def step_report_outcomes(context, name):
-    sender = outcome_board.OutcomeBoard()
+    sender = outcome_table.OutcomeTable()
     now_s = time.monotonic()
     for failed in (1.0, 0.0, 1.0, 0.0, 0.0):
         sender.record(name, now_s, failed)
@@ -266,9 +266,9 @@
         peer_messages.Report("d1", "r1", "i1", 1, {}, outcomes=sender.list_own(now_s))
     )
     message = peer_messages.decode(data)
-    context.board = load_board.LoadBoard()
+    context.board = load_table.LoadTable()
     context.reported_s = now_s
-    report = load_board.LoadReport({}, now_s, outcomes=message.outcomes)
+    report = load_table.LoadReport({}, now_s, outcomes=message.outcomes)
     context.board.set_report("d1", report)
 
 
@@ -282,6 +282,6 @@
 @then("after the daemon has been silent for {silence_s:d} s it counts none")
 def step_silent_outcomes(context, silence_s):
     later_s = context.reported_s + silence_s
-    context.board.drop_silent(later_s)
+    context.board.drop_stale_reports(later_s)
     assert context.board.outcomes.sum_with(["d1"], later_s) == {}
-    assert context.board.outcomes.find_failed_share("t1", later_s) == 0.0
+    assert context.board.outcomes.find_failure_rate("t1", later_s) == 0.0
--- a/features/steps/serving_process_steps.py
+++ b/features/steps/serving_process_steps.py
@@ -65,7 +65,7 @@
     count = getattr(context, "events", 6)
     expected = b"".join(replica.make_event("abc", n) for n in range(1, count + 1))
     assert context.reply.body == expected, context.reply
-    assert context.reply.is_whole
+    assert context.reply.is_complete
 
 
 @when("a job of {count:d} items is handed to the {which} daemon")
--- a/features/steps/serving_state_steps.py
+++ b/features/steps/serving_state_steps.py
@@ -11,20 +11,20 @@
 from endivevane import exceptions
 from endivevane.platform import headers, records
 from endivevane.serving import (
-    batch_places,
+    batch_slots,
     failures,
     follower,
-    job_book,
     job_changes,
-    job_claims,
     job_reader,
+    job_registry,
     job_runner,
+    job_takeover,
     jobs,
     model,
     peer_messages,
-    places,
-    roster,
+    peer_registry,
     routing_table,
+    slot_registry,
     store,
 )
 from features.support import serving_fakes
@@ -59,7 +59,7 @@
 
 @when("the store returns after it was away")
 def step_store_returns(context):
-    context.fleet.directory.note_store_return(context.now_s)
+    context.fleet.directory.record_store_recovery(context.now_s)
 
 
 @when("{seconds:g} s have passed")
@@ -191,7 +191,7 @@
     def __init__(self, rows, name):
         self.owner = f"{name}/1"
         self.rows = rows
-        self.book = job_book.JobBook()
+        self.book = job_registry.JobRegistry()
         self.state = follower.TableFollower(rows, "state", "", self._on_row)
         self.changes = job_changes.JobChanges(rows, self.state, self.book, self.owner)
         self.feed = asyncio.ensure_future(self.state.run())
@@ -393,7 +393,7 @@
 @then("{taken:d} jobs were taken and the others refused as over the quota")
 def step_taken(context, taken):
     entries = [
-        item for item in context.outcomes if isinstance(item, job_book.BookEntry)
+        item for item in context.outcomes if isinstance(item, job_registry.BookEntry)
     ]
     refusals = [
         item
@@ -513,15 +513,15 @@
     configuration = model.Configuration(1, given, {}, model.ClientLimits())
     table = routing_table.RoutingTable(configuration)
     return job_runner.JobRunner(
-        job_runner.RunnerParts(
+        job_runner.RunnerDependencies(
             targets=fleet.directory,
-            board=fleet.board,
+            load_table=fleet.board,
             choices=fleet.choices,
-            places=batch_places.BatchPlaces(
-                fleet.choices, fleet.board, places.PlaceBook(fleet.board)
+            slots=batch_slots.BatchSlots(
+                fleet.choices, fleet.board, slot_registry.SlotRegistry(fleet.board)
             ),
             caller=caller,
-            rows=daemon.rows,
+            row_store=daemon.rows,
             changes=daemon.changes,
             reader=job_reader.JobReader(daemon.book, daemon.changes, lambda: 0.5),
             routes=lambda: table,
@@ -562,7 +562,7 @@
         )
         received = peer_messages.decode(peer_messages.encode(report))
         newest = second.state.newest
-        asyncio.get_running_loop().call_later(0.1, newest.note, received.version)
+        asyncio.get_running_loop().call_later(0.1, newest.record, received.version)
         context.answers.append(await _ask_for_job(reader))
         context.answers.append(await _ask_for_job(reader))
         rows.is_old = False
@@ -614,7 +614,7 @@
         run = runner._owned["job"].runs["job-0"]
         run.failed = count
         run.pieces, run.last_event = [b"one", b"two"], 2
-        await runner.hand_back()
+        await runner.release_jobs()
         entry = await second.changes.refresh("job")
         context.owner = entry.job.owner
         successor = _make_runner(second, fleet, None)
@@ -649,13 +649,13 @@
         self.is_stopping = name == stopping
         self._staying = [item for item in ("a", "b") if item != stopping]
 
-    def list_staying(self):
+    def list_active(self):
         return self._staying
 
     def is_alive(self, name, incarnation=""):
         return True
 
-    def is_informed(self, now_s):
+    def is_membership_current(self, now_s):
         return True
 
 
@@ -673,8 +673,8 @@
         await daemons["a"].changes.accept(_submission("job"))
         tasks = []
         for name, daemon in daemons.items():
-            claims = job_claims.JobClaims(
-                roster.Identity(name, "r", "1", "10.0.0.1", 1),
+            claims = job_takeover.JobTakeover(
+                peer_registry.Identity(name, "r", "1", "10.0.0.1", 1),
                 _NamedNetwork(name, context.stopping),
                 daemon.state,
                 daemon.book,
--- a/features/steps/stopping_daemons_steps.py
+++ b/features/steps/stopping_daemons_steps.py
@@ -4,16 +4,16 @@
 from behave import given, then, when
 
 from endivevane.platform import headers
-from endivevane.serving import ingress, model, responder
+from endivevane.serving import http_server, model, responder
 
 _REQUEST = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 
 
 def _make_server(body):
     async def handle(request, answer):
-        answer.send(responder.WholeAnswer(200, body))
+        answer.send(responder.Response(200, body))
 
-    return ingress.Server(headers.HeaderCodec(), handle, model.ClientLimits)
+    return http_server.Server(headers.HeaderCodec(), handle, model.ClientLimits)
 
 
 @given("a server whose loop is busy while {count:d} clients connect and send a request")
@@ -91,7 +91,7 @@
         while data := await loop.sock_recv(client, 2000):
             context.read += len(data)
             await asyncio.sleep(0.005)
-            if not server.busy:
+            if not server.active_connections:
                 context.unsent_at_end += sum(item.has_unsent for item in streams)
         client.close()
 
--- a/features/steps/transport_steps.py
+++ b/features/steps/transport_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from endivevane.cluster import transport
-from endivevane.coordination import exchange
+from endivevane.coordination import gossip_messages
 from endivevane.daemon import settings as daemon_settings
 from features.support import cluster_members
 from tools import ports
@@ -22,7 +22,7 @@
 
 
 def _make_ping(sender, sequence=1):
-    return exchange.Ping(exchange.Header(sender, 1, 0, 0), sequence)
+    return gossip_messages.Ping(gossip_messages.Header(sender, 1, 0, 0), sequence)
 
 
 def _receive(receiver, limit_s):
@@ -71,11 +71,13 @@
 
 @then("the peer's answer reaches it within {limit:d} seconds")
 def step_check_answer(context, limit):
-    header = exchange.Header("peer", 1, 0, 0)
-    assert context.peer.send("member", exchange.Ack(header, 2), prefer_route=True)
+    header = gossip_messages.Header("peer", 1, 0, 0)
+    assert context.peer.send(
+        "member", gossip_messages.Ack(header, 2), prefer_route=True
+    )
     end_s = time.monotonic() + limit
     while time.monotonic() < end_s:
         message = _receive(context.member, 0.1)
-        if isinstance(message, exchange.Ack):
+        if isinstance(message, gossip_messages.Ack):
             return
     raise AssertionError("the answer did not arrive")
--- a/features/support/demand_daemons.py
+++ b/features/support/demand_daemons.py
@@ -4,7 +4,7 @@
 
 from endivevane import testing, types
 from endivevane.cluster import messages
-from endivevane.coordination import clock, exchange, fencing, store
+from endivevane.coordination import clock, fencing, gossip_messages, store
 from endivevane.orders import demand
 
 ROUND_S = 2.0
@@ -44,7 +44,7 @@
             self.clock.advance(ROUND_S)
 
     def _pass_on(self, sender, receiver, body, is_lost):
-        header = exchange.Header(sender, 1, 760, 760)
+        header = gossip_messages.Header(sender, 1, 760, 760)
         message = messages.Application(header, demand.KIND, body, sender)
         kind, data = messages.encode(message)
         _, decoded = messages.decode(data)
--- a/features/support/fuzz_feed.py
+++ b/features/support/fuzz_feed.py
@@ -28,7 +28,7 @@
 
     def start_process(self):
         self.feed = self.feed_class("z1", self.clock, _LONGEST_PAUSE_S)
-        self.feed.set_listed(_PEERS)
+        self.feed.set_peers(_PEERS)
         self.highest = 0
         self.answers = {}
         self.read_head = None
--- a/features/support/fuzz_lease.py
+++ b/features/support/fuzz_lease.py
@@ -153,7 +153,7 @@
     def no_observer_ends_a_valid_epoch(self):
         epoch = self.holders[0].lease.epoch
         if epoch is not None:
-            assert not self.observer.is_lapsed("d1", epoch), f"{epoch} taken for over"
+            assert not self.observer.is_expired("d1", epoch), f"{epoch} taken for over"
 
 
 class _LateLease(lease.SessionLease):
--- a/features/support/fuzz_membership.py
+++ b/features/support/fuzz_membership.py
@@ -5,7 +5,7 @@
 from hypothesis import stateful
 from hypothesis import strategies as st
 
-from endivevane.coordination import clock, members, membership, probes, roster
+from endivevane.coordination import clock, members, membership, membership_view, probes
 
 _NAMES = ("a", "b", "c", "d", "e")
 _ZONES = {"a": "z1", "b": "z1", "c": "z2", "d": "z2", "e": "z3"}
@@ -110,7 +110,7 @@
     def report_lapsed(self, name, accused):
         type(self).steps_run += 1
         if name in self.detectors and name not in self.paused:
-            self.detectors[name].report_lapsed(accused)
+            self.detectors[name].report_session_expired(accused)
             self.collect(name)
 
     @stateful.invariant()
@@ -156,7 +156,7 @@
         return all(self.view(name) == truth for name in self.detectors)
 
 
-class _ForgetfulRoster(roster.Roster):
+class _ForgetfulRoster(membership_view.MembershipView):
     """Broken: takes every report, whatever its incarnation."""
 
     def _merge_one(self, update, now_s):
@@ -174,9 +174,9 @@
     """Fuzzes detectors that take old reports for new."""
 
     def start_process(self, name):
-        original = membership.roster.Roster
-        membership.roster.Roster = _ForgetfulRoster
+        original = membership.membership_view.MembershipView
+        membership.membership_view.MembershipView = _ForgetfulRoster
         try:
             super().start_process(name)
         finally:
-            membership.roster.Roster = original
+            membership.membership_view.MembershipView = original
--- a/features/support/fuzz_register.py
+++ b/features/support/fuzz_register.py
@@ -198,7 +198,7 @@
         self.store.script(*faults)
         recording = self.registers[call.daemon].record(call.claim, call.outcome)
         self._clear_script()
-        if recording is register.Recording.STORED:
+        if recording is register.RecordStatus.STORED:
             row = self.store.rows(register.TABLE)[call.claim.row_key]
             stored = row.value.get("outcome")
             assert stored == call.outcome, "the outcome is not stored"
--- a/features/support/fuzz_shares.py
+++ b/features/support/fuzz_shares.py
@@ -47,7 +47,9 @@
             daemon.set_need(self.needs[name])
             for need in daemon.take_announcements(8):
                 if need.name == name:
-                    due_s = self.clock.monotonic_s() + daemon.settle_s + self.late_s
+                    due_s = (
+                        self.clock.monotonic_s() + daemon.propagation_s + self.late_s
+                    )
                     others = [other for other in _NAMES if other != name]
                     self.network += [(due_s, other, need) for other in others]
         self.clock.advance(duration_s)
--- a/features/support/pump.py
+++ b/features/support/pump.py
@@ -153,7 +153,7 @@
 
     def _collect(self, name):
         node = self.nodes[name]
-        node.detector.take_broken()
+        node.detector.take_reconnects()
         for change in node.detector.take_events():
             state = change.member.state
             if state is members.MemberState.DEAD:
--- a/features/support/region_daemons.py
+++ b/features/support/region_daemons.py
@@ -7,11 +7,11 @@
 from endivevane.serving import (
     coordinator,
     newest_version,
+    peer_registry,
     peers,
-    place_client,
-    place_queue,
-    places,
-    roster,
+    slot_client,
+    slot_queue,
+    slot_registry,
 )
 from features.support import serving_fakes
 
@@ -58,12 +58,14 @@
 
     def __init__(self, wire, number, targets, incarnation="run"):
         self.host = f"10.0.0.{number}"
-        self.identity = roster.Identity(f"d{number}", "near", incarnation, self.host, 1)
+        self.identity = peer_registry.Identity(
+            f"d{number}", "near", incarnation, self.host, 1
+        )
         self.fleet = serving_fakes.Fleet(targets, seed=number)
         self.board = self.fleet.board
-        self.roster = roster.Roster(self.identity)
-        self.roster.settled_s = 0.0
-        self.book = places.PlaceBook(self.board)
+        self.roster = peer_registry.PeerRegistry(self.identity)
+        self.roster.warmed_up_s = 0.0
+        self.book = slot_registry.SlotRegistry(self.board)
         self.newest = newest_version.NewestVersion()
         self.network = peers.PeerNetwork(
             self.identity,
@@ -73,15 +75,15 @@
             self.book,
             lambda: None,
         )
-        self.client = place_client.PlaceClient(
+        self.client = slot_client.SlotClient(
             self.identity,
             "z1",
             self.roster,
             self.fleet.directory,
             self.book,
-            self.network.send_place_message,
+            self.network.send_slot_message,
         )
-        queue = place_queue.PlaceQueue(
+        queue = slot_queue.SlotQueue(
             self.fleet.choices, self.board, self.fleet.choices._generator
         )
         self.coordinator = coordinator.Coordinator(
@@ -89,7 +91,7 @@
             self.board,
             queue,
             self.fleet.choices,
-            self.network.send_place_message,
+            self.network.send_slot_message,
         )
         self.network.connect(self.client, self.coordinator)
         self.network.connection_made(wire.make_transport(self.host))
@@ -121,7 +123,7 @@
 
     async def ask(self, objective_s=0.5):
         now_s = time.monotonic()
-        wish = place_queue.Wish("lm", 0, now_s + objective_s, now_s + 5.0)
+        wish = slot_queue.SlotRequest("lm", 0, now_s + objective_s, now_s + 5.0)
         began_s = time.monotonic()
         answer = await self.admission.acquire(wish)
         return answer, time.monotonic() - began_s
@@ -138,7 +140,7 @@
             for other in self.daemons:
                 identity = other.identity
                 daemon.roster.add(
-                    roster.Peer(identity.name, "near", other.host, 1, "run")
+                    peer_registry.Peer(identity.name, "near", other.host, 1, "run")
                 )
 
     async def start(self, settle_s):
--- a/features/support/serving_fakes.py
+++ b/features/support/serving_fakes.py
@@ -7,14 +7,14 @@
 
 from endivevane.serving import (
     admission,
-    directory,
     failures,
-    load_board,
+    load_table,
     model,
-    place_queue,
-    placement,
-    places,
+    slot_queue,
+    slot_registry,
     store,
+    target_registry,
+    target_selection,
 )
 
 
@@ -26,7 +26,7 @@
         port=9,
         availability_zone=zone,
         slots=slots,
-        is_leaving=leaving,
+        is_draining=leaving,
         started_ms=born,
     )
 
@@ -45,22 +45,26 @@
 
     def __init__(self, names, seed=1, zone="z1", age_s=0.03, zones=None):
         self.targets = {}
-        self.directory = directory.Directory(lambda key, _value: self.targets[key])
-        self.board = load_board.LoadBoard()
-        place = placement.Location(zone, "near", {"z1": "near", "z2": "far"})
-        self.board.near_age_s = age_s
-        self.choices = placement.Placement(
+        self.directory = target_registry.TargetRegistry(
+            lambda key, _value: self.targets[key]
+        )
+        self.board = load_table.LoadTable()
+        place = target_selection.Location(zone, "near", {"z1": "near", "z2": "far"})
+        self.board.same_region_age_s = age_s
+        self.choices = target_selection.TargetSelector(
             place, self.directory, self.board, random.Random(seed)
         )
         for number, name in enumerate(names):
             self.add(name, zone=(zones or {}).get(name, "z1"), version=number + 1)
 
     def make_queue(self, seed=1):
-        return place_queue.PlaceQueue(self.choices, self.board, random.Random(seed))
+        return slot_queue.SlotQueue(self.choices, self.board, random.Random(seed))
 
     def make_admission(self, client=None, book=None, queue=None):
         return admission.Admission(
-            queue or self.make_queue(), book or places.PlaceBook(self.board), client
+            queue or self.make_queue(),
+            book or slot_registry.SlotRegistry(self.board),
+            client,
         )
 
     def add(self, name, version=1, **fields):
@@ -73,10 +77,10 @@
     def report(self, peer, loads):
         now_s = time.monotonic()
         counted = {
-            name: load_board.Load(online, batch)
+            name: load_table.Load(online, batch)
             for name, (online, batch) in loads.items()
         }
-        self.board.set_report(peer, load_board.LoadReport(counted, now_s))
+        self.board.set_report(peer, load_table.LoadReport(counted, now_s))
 
 
 class FakeStore:
--- a/features/support/serving_processes.py
+++ b/features/support/serving_processes.py
@@ -188,7 +188,7 @@
 
     def ask(self, daemon, data, wait_s=10.0):
         return self.loop.run(
-            serving_world.ask(daemon.port, data, wait_s), timeout_s=wait_s + 5
+            serving_world.send_request(daemon.port, data, wait_s), timeout_s=wait_s + 5
         )
 
     def stop(self):
--- a/features/support/serving_world.py
+++ b/features/support/serving_world.py
@@ -10,18 +10,18 @@
 from endivevane.platform import headers, job_codec, records
 from endivevane.serving import (
     admission,
-    directory,
-    exchange,
-    front_door,
     http_client,
-    ingress,
-    load_board,
+    http_server,
+    load_table,
     model,
-    place_queue,
-    placement,
-    places,
+    online_service,
+    request_router,
     routing_table,
-    target_calls,
+    slot_queue,
+    slot_registry,
+    target_client,
+    target_registry,
+    target_selection,
 )
 from features.support import serving_fakes
 from standins import replica
@@ -53,16 +53,16 @@
 
 
 @dataclasses.dataclass
-class Reply:
+class Response:
     """What a client got.
 
-    :ivar is_whole: whether the answer ended as HTTP says
+    :ivar is_complete: whether the answer ended as HTTP says
     """
 
     status: int = 0
     headers: dict = dataclasses.field(default_factory=dict)
     body: bytes = b""
-    is_whole: bool = False
+    is_complete: bool = False
     took_s: float = 0.0
 
 
@@ -71,27 +71,29 @@
 
     def __init__(self, configuration, names=("a", "b")):
         self.replicas = {name: replica.Replica(name) for name in names}
-        self.directory = directory.Directory(records.decode_target)
-        self.board = load_board.LoadBoard()
+        self.directory = target_registry.TargetRegistry(records.decode_target)
+        self.board = load_table.LoadTable()
         generator = random.Random(5)
-        place = placement.Location("z1", "near", {"z1": "near"})
-        choices = placement.Placement(place, self.directory, self.board, generator)
-        queue = place_queue.PlaceQueue(choices, self.board, generator)
-        admitted = admission.Admission(queue, places.PlaceBook(self.board))
+        place = target_selection.Location("z1", "near", {"z1": "near"})
+        choices = target_selection.TargetSelector(
+            place, self.directory, self.board, generator
+        )
+        queue = slot_queue.SlotQueue(choices, self.board, generator)
+        admitted = admission.Admission(queue, slot_registry.SlotRegistry(self.board))
         codec = headers.HeaderCodec()
-        caller = target_calls.TargetCaller(
-            http_client.ConnectionPool(0.35), codec, self.directory.record_leaving
+        caller = target_client.TargetClient(
+            http_client.ConnectionPool(0.35), codec, self.directory.record_draining
         )
-        self.directory.call_when_gone(caller.forget)
-        online = exchange.OnlineService(
+        self.directory.add_removal_callback(caller.forget)
+        online = online_service.OnlineService(
             self.directory, self.board, admitted, caller, generator
         )
-        self.door = front_door.FrontDoor(online, None, job_codec.JobCodec())
+        self.door = request_router.RequestRouter(online, None, job_codec.JobCodec())
         if configuration is not None:
             decoded = records.decode_configuration(dump(configuration))
             self.door.table = routing_table.RoutingTable(decoded)
-            self.door.is_open.set()
-        self.server = ingress.Server(codec, self.door.handle, self._limits)
+            self.door.is_ready.set()
+        self.server = http_server.Server(codec, self.door.handle, self._limits)
         self.port = 0
 
     def _limits(self):
@@ -136,7 +138,7 @@
 
 async def read_reply(reader):
     """Read one answer, and say whether it was whole."""
-    reply = Reply()
+    reply = Response()
     began_s = time.monotonic()
     with contextlib.suppress(OSError, asyncio.IncompleteReadError, ValueError):
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
@@ -147,7 +149,7 @@
             reply.headers[name.lower()] = value.strip()
         if "content-length" in reply.headers:
             reply.body = await reader.readexactly(int(reply.headers["content-length"]))
-            reply.is_whole = True
+            reply.is_complete = True
         else:
             await _read_chunks(reader, reply)
     reply.took_s = time.monotonic() - began_s
@@ -159,12 +161,12 @@
         size = int((await reader.readline()).strip(), 16)
         data = await reader.readexactly(size + 2)
         if not size:
-            reply.is_whole = True
+            reply.is_complete = True
             return
         reply.body += data[:-2]
 
 
-async def ask(port, data, wait_s=6.0):
+async def send_request(port, data, wait_s=6.0):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -42,9 +42,9 @@
         daemon = generator.choice(items.daemons)
         data = world.make_stream(prefix, attempt)
         try:
-            reply = await serving_world.ask(daemon.port, data, wait_s=5.0)
+            reply = await serving_world.send_request(daemon.port, data, wait_s=5.0)
         except (OSError, TimeoutError):
-            reply = serving_world.Reply()
+            reply = serving_world.Response()
         _check_stream(items, report, prefix, attempt, reply)
         await asyncio.sleep(generator.uniform(0.0, 0.1))
 
@@ -54,18 +54,18 @@
     report: Report,
     prefix: str,
     attempt: str,
-    reply: serving_world.Reply,
+    reply: serving_world.Response,
 ) -> None:
     whole = b"".join(
         replica.make_event(attempt, number) for number in range(1, world.EVENTS + 1)
     )
     if reply.status == 200:
-        if reply.is_whole and reply.body != whole:
+        if reply.is_complete and reply.body != whole:
             report.broken.append(f"MIXED {attempt}: {reply.body!r}")
         if not whole.startswith(reply.body):
             report.broken.append(f"ORDER {attempt}: {reply.body!r}")
-        report.served += reply.is_whole
-        report.failed += not reply.is_whole
+        report.served += reply.is_complete
+        report.failed += not reply.is_complete
         return
     if reply.status in _PROMISES:
         report.refused += 1
@@ -140,7 +140,7 @@
         reply = await self._ask(serving_processes.make_call("GET", path))
         if reply.status == 404:
             self._report.broken.append(f"LOST {self._job_id}: 404 after its 202")
-        if reply.status != 200 or not reply.is_whole:
+        if reply.status != 200 or not reply.is_complete:
             return
         answer = json.loads(reply.body)
         if answer["total"] != self._count:
@@ -174,9 +174,9 @@
             if result["state"] != "completed":
                 self._report.broken.append(f"MIXED {self._job_id}: given up {result}")
 
-    async def _ask(self, data: bytes) -> serving_world.Reply:
+    async def _ask(self, data: bytes) -> serving_world.Response:
         daemon = self._generator.choice(self._items.daemons)
         try:
-            return await serving_world.ask(daemon.port, data, wait_s=4.0)
+            return await serving_world.send_request(daemon.port, data, wait_s=4.0)
         except (OSError, TimeoutError):
-            return serving_world.Reply()
+            return serving_world.Response()
--- a/src/endivevane/batch/chunks.py
+++ b/src/endivevane/batch/chunks.py
@@ -103,7 +103,7 @@
     chunk = _make_claimed_chunk(row, owner)
     job = stored_job.job
     key = records.make_chunk_key(job.job_id, number)
-    outcome = store.transact_settled(
+    outcome = store.transact_with_readback(
         table_store,
         operation_id,
         [
@@ -193,7 +193,7 @@
     """Write the chunk row under the fencing token and the job's revision."""
     job_id = held.stored_job.job.job_id
     operation_id = f"{verb}/{held.key}/{held.claim_epoch}/{held.revision}"
-    outcome = store.transact_settled(
+    outcome = store.transact_with_readback(
         table_store,
         operation_id,
         [
--- a/src/endivevane/batch/files.py
+++ b/src/endivevane/batch/files.py
@@ -180,7 +180,7 @@
 
     def _insert(self, record: records.InputFile) -> records.InputFile:
         """Insert the row, or return the record of an earlier upload with the key."""
-        outcome = store.transact_settled(
+        outcome = store.transact_with_readback(
             self._store,
             utils.make_id("file"),
             [store.Condition(records.FILES, record.file_id, None)],
@@ -203,7 +203,7 @@
         return records.decode(records.InputFile, row.value), row.revision
 
     def _write(self, file_id: str, revision: int, record: records.InputFile) -> int:
-        outcome = store.transact_settled(
+        outcome = store.transact_with_readback(
             self._store,
             utils.make_id("file"),
             [store.Condition(records.FILES, file_id, revision)],
--- a/src/endivevane/batch/jobs.py
+++ b/src/endivevane/batch/jobs.py
@@ -205,7 +205,7 @@
         if source.lines == 0:
             raise errors.InvalidRequest("the file is empty", param="input_file_id")
         job = self._build(request, job_id, source)
-        outcome = store.transact_settled(
+        outcome = store.transact_with_readback(
             self._store,
             utils.make_id("create"),
             [
@@ -308,7 +308,7 @@
 ) -> result.Result[chunks.WriteOutcome, store.StoreError]:
     """Write the final row of a job and delete its ``open`` row."""
     job_id = ended.job_id
-    outcome = store.transact_settled(
+    outcome = store.transact_with_readback(
         table_store,
         utils.make_id("end"),
         [store.Condition(records.JOBS, job_id, stored.revision)],
--- a/src/endivevane/cluster/confirmations.py
+++ b/src/endivevane/cluster/confirmations.py
@@ -6,7 +6,7 @@
 
 from endivevane import logs, utils
 from endivevane.cluster import calls, messages, neighbours
-from endivevane.coordination import exchange, feed, members, store
+from endivevane.coordination import feed, gossip_messages, members, store
 
 WRITE = "config_ack"
 _REPEAT_S = 2.0
@@ -37,7 +37,7 @@
         self._written = 0
         self._has_failed = False
 
-    def record_applied(self, header: exchange.Header) -> None:
+    def record_applied(self, header: gossip_messages.Header) -> None:
         """Remember the revision in force at the sender of a message."""
         self._applied[header.sender] = header.applied_revision
 
--- a/src/endivevane/cluster/messages.py
+++ b/src/endivevane/cluster/messages.py
@@ -10,7 +10,7 @@
 import orjson
 
 from endivevane import exceptions
-from endivevane.coordination import exchange, members, shares
+from endivevane.coordination import gossip_messages, members, shares
 
 MAX_MESSAGE_BYTES = 2 << 20
 _MAX_UPDATES = 2000
@@ -26,7 +26,7 @@
 class ConfigAsk:
     """Asks which revision the receiver has in force."""
 
-    header: exchange.Header
+    header: gossip_messages.Header
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
     :param is_current: whether the sender knows its revision to be current
     """
 
-    header: exchange.Header
+    header: gossip_messages.Header
     is_current: bool
 
 
@@ -47,7 +47,7 @@
     :param versions: version by document key that the sender has
     """
 
-    header: exchange.Header
+    header: gossip_messages.Header
     versions: abc.Mapping[str, int]
 
 
@@ -59,7 +59,7 @@
     :param documents: content of those that the receiver lacked
     """
 
-    header: exchange.Header
+    header: gossip_messages.Header
     revision: int
     state: str
     versions: abc.Mapping[str, int]
@@ -74,7 +74,7 @@
     :param revision: in an answer, the revision that the gateway has recorded
     """
 
-    header: exchange.Header
+    header: gossip_messages.Header
     is_answer: bool
     revision: int = 0
 
@@ -86,7 +86,7 @@
     :param as_of_s: wall time of the list, on the platform's clock
     """
 
-    header: exchange.Header
+    header: gossip_messages.Header
     as_of_s: float
     names: tuple[str, ...]
 
@@ -95,7 +95,7 @@
 class LinkNeeds:
     """What daemons need of the link between the regions."""
 
-    header: exchange.Header
+    header: gossip_messages.Header
     needs: tuple[shares.Need, ...]
 
 
@@ -108,7 +108,7 @@
         for a message to one daemon
     """
 
-    header: exchange.Header
+    header: gossip_messages.Header
     kind: str
     body: dict[str, typing.Any]
     origin: str
@@ -116,7 +116,7 @@
 
 
 Message = (
-    exchange.Message
+    gossip_messages.Message
     | ConfigAsk
     | ConfigStatus
     | ConfigGet
@@ -154,7 +154,7 @@
     try:
         envelope = orjson.loads(data)
         kind, sender, incarnation, known, applied, updates, *fields = envelope
-        header = exchange.Header(
+        header = gossip_messages.Header(
             _check_name(sender),
             _check_number(incarnation),
             _check_number(known),
@@ -182,32 +182,32 @@
 
 
 @_list_fields.register
-def _(message: exchange.Ping) -> tuple[str, list[typing.Any]]:
+def _(message: gossip_messages.Ping) -> tuple[str, list[typing.Any]]:
     return "ping", [message.sequence]
 
 
 @_list_fields.register
-def _(message: exchange.Ack) -> tuple[str, list[typing.Any]]:
+def _(message: gossip_messages.Ack) -> tuple[str, list[typing.Any]]:
     return "ack", [message.sequence]
 
 
 @_list_fields.register
-def _(message: exchange.ProbeRequest) -> tuple[str, list[typing.Any]]:
+def _(message: gossip_messages.ProbeRequest) -> tuple[str, list[typing.Any]]:
     return "ping_req", [message.sequence, message.target]
 
 
 @_list_fields.register
-def _(message: exchange.Gossip) -> tuple[str, list[typing.Any]]:
+def _(message: gossip_messages.Gossip) -> tuple[str, list[typing.Any]]:
     return "gossip", []
 
 
 @_list_fields.register
-def _(message: exchange.SyncRequest) -> tuple[str, list[typing.Any]]:
+def _(message: gossip_messages.SyncRequest) -> tuple[str, list[typing.Any]]:
     return "sync", [message.digest]
 
 
 @_list_fields.register
-def _(message: exchange.SyncRows) -> tuple[str, list[typing.Any]]:
+def _(message: gossip_messages.SyncRows) -> tuple[str, list[typing.Any]]:
     return "sync_rows", [message.is_answer_wanted]
 
 
@@ -287,7 +287,7 @@
     )
 
 
-def _decode_needs(header: exchange.Header, needs: typing.Any) -> LinkNeeds:
+def _decode_needs(header: gossip_messages.Header, needs: typing.Any) -> LinkNeeds:
     found = []
     for name, version, need, weight in _check_list(needs):
         if not weight > 0:
@@ -303,7 +303,7 @@
 
 
 def _decode_rows(
-    header: exchange.Header,
+    header: gossip_messages.Header,
     revision: typing.Any,
     state: typing.Any,
     versions: typing.Any,
@@ -319,23 +319,25 @@
 
 
 def _decode_leaving(
-    header: exchange.Header, as_of_s: typing.Any, names: typing.Any
+    header: gossip_messages.Header, as_of_s: typing.Any, names: typing.Any
 ) -> VmsLeaving:
     checked = tuple(_check_name(name) for name in _check_list(names))
     return VmsLeaving(header, float(as_of_s), checked)
 
 
 _DECODERS: dict[str, abc.Callable[..., Message]] = {
-    "ping": lambda header, number: exchange.Ping(header, _check_number(number)),
-    "ack": lambda header, number: exchange.Ack(header, _check_number(number)),
-    "ping_req": lambda header, number, target: exchange.ProbeRequest(
+    "ping": lambda header, number: gossip_messages.Ping(header, _check_number(number)),
+    "ack": lambda header, number: gossip_messages.Ack(header, _check_number(number)),
+    "ping_req": lambda header, number, target: gossip_messages.ProbeRequest(
         header, _check_number(number), _check_name(target)
     ),
-    "gossip": exchange.Gossip,
-    "sync": lambda header, digest: exchange.SyncRequest(
+    "gossip": gossip_messages.Gossip,
+    "sync": lambda header, digest: gossip_messages.SyncRequest(
         header, _check_number(digest, 1 << 64)
     ),
-    "sync_rows": lambda header, wanted: exchange.SyncRows(header, wanted is True),
+    "sync_rows": lambda header, wanted: gossip_messages.SyncRows(
+        header, wanted is True
+    ),
     "config_ask": ConfigAsk,
     "config_status": lambda header, current: ConfigStatus(header, current is True),
     "config_get": lambda header, versions: ConfigGet(header, _check_versions(versions)),
--- a/src/endivevane/cluster/neighbours.py
+++ b/src/endivevane/cluster/neighbours.py
@@ -11,7 +11,7 @@
 from endivevane.cluster import calls, messages, sessions, transport
 from endivevane.coordination import (
     clock,
-    exchange,
+    gossip_messages,
     lease,
     members,
     membership,
@@ -104,7 +104,7 @@
         self._seen = present
         for row in self._rows:
             self._observer.observe(row.key, row, scan.started_s, scan.finished_s)
-        lapsed = self._observer.list_lapsed()
+        lapsed = self._observer.list_expired()
         for name in lapsed:
             self._report_lapsed(name)
         self._meet_strangers(lapsed)
@@ -133,10 +133,10 @@
                 zones[transport.SEED_PREFIX + seed] = me.description.zone
         return zones
 
-    def make_header(self) -> exchange.Header:
+    def make_header(self) -> gossip_messages.Header:
         """Return a header without updates."""
         me = self.detector.me
-        return exchange.Header(
+        return gossip_messages.Header(
             me.name,
             me.incarnation,
             self.detector.known_revision,
@@ -145,11 +145,11 @@
 
     def flush(self) -> None:
         """Send what the failure detector wants to send."""
-        for name in self.detector.take_broken():
+        for name in self.detector.take_reconnects():
             self._transport.drop_silent(name)
         for outgoing in self.detector.take_outgoing():
             prefer_route = isinstance(
-                outgoing.message, exchange.Ack | exchange.SyncRows
+                outgoing.message, gossip_messages.Ack | gossip_messages.SyncRows
             )
             self.send(outgoing.receiver, outgoing.message, prefer_route)
 
@@ -242,8 +242,8 @@
             return
         if member.description.region == self.detector.me.description.region:
             return
-        if not self.detector.is_region_heard(member.description.region):
-            self.detector.report_lapsed(name)
+        if not self.detector.was_region_seen(member.description.region):
+            self.detector.report_session_expired(name)
 
     def _scan(self) -> Scan:
         started_s = self._clock.monotonic_s()
--- a/src/endivevane/cluster/node.py
+++ b/src/endivevane/cluster/node.py
@@ -23,7 +23,7 @@
     transport,
     vm_watch,
 )
-from endivevane.coordination import clock, exchange, members, store
+from endivevane.coordination import clock, gossip_messages, members, store
 from endivevane.daemon import settings as daemon_settings
 from endivevane.external import vms
 
@@ -86,7 +86,7 @@
         now_s = self._clock.monotonic_s()
         detector = self._peers.detector
         detector.tick()
-        self.follower.feed.learn(detector.known_revision)
+        self.follower.feed.learn_revision(detector.known_revision)
         self.keeper.run(now_s)
         self.follower.run(now_s, len(detector.table), self._has_holder())
         self._peers.run(now_s)
@@ -135,7 +135,7 @@
     def handle(self, message: messages.Message) -> None:
         """Process one received message."""
         self._confirmations.record_applied(message.header)
-        if isinstance(message, exchange.Message):
+        if isinstance(message, gossip_messages.Message):
             self._peers.detector.handle(message)
             return
         self._peers.detector.learn_revision(message.header.known_revision)
@@ -234,7 +234,7 @@
                 self._request_rows(self._random.choice(holders))
         if feed.is_current() or not self.follower.has_store_failed:
             return
-        feed.set_listed(self._peers.list_zones(self._vms.listed))
+        feed.set_peers(self._peers.list_zones(self._vms.listed))
         waiting = feed.list_unanswered()
         for name in self._random.sample(waiting, min(_ASK_BATCH, len(waiting))):
             self._peers.send(name, messages.ConfigAsk(self._peers.make_header()))
--- a/src/endivevane/configuration/publishing.py
+++ b/src/endivevane/configuration/publishing.py
@@ -181,7 +181,7 @@
         "state": HeadState.ACCEPTED.value,
         "excluded_zones": list(excluded_zones),
     }
-    written = store.transact_settled(
+    written = store.transact_with_readback(
         table_store,
         utils.make_id("accept"),
         [store.Condition(TABLE, HEAD_KEY, row.revision)],
@@ -298,4 +298,4 @@
     writes += [store.Write(TABLE, HEAD_KEY, head), *removals]
     condition = store.Condition(TABLE, HEAD_KEY, current.head_row_revision)
     operation_id = utils.make_id("publish")
-    return store.transact_settled(table_store, operation_id, [condition], writes)
+    return store.transact_with_readback(table_store, operation_id, [condition], writes)
--- a/src/endivevane/coordination/feed.py
+++ b/src/endivevane/coordination/feed.py
@@ -61,7 +61,7 @@
         """Tell whether a higher revision than the one in force is known."""
         return self.known_revision > self.applied_revision
 
-    def learn(self, revision: int) -> bool:
+    def learn_revision(self, revision: int) -> bool:
         """Record that a revision exists; tell whether it is the highest so far."""
         if revision <= self.known_revision:
             return False
@@ -76,7 +76,7 @@
         if revision <= self.applied_revision:
             return False
         self.applied_revision = revision
-        self.learn(revision)
+        self.learn_revision(revision)
         self._confirm()
         return True
 
@@ -90,11 +90,11 @@
         self.check_pause()
         if self._clock.monotonic_s() - started_s > self._longest_pause_s:
             return
-        self.learn(revision)
+        self.learn_revision(revision)
         self._head_revision = revision
         self._confirm()
 
-    def set_listed(self, zones: abc.Mapping[str, str]) -> None:
+    def set_peers(self, zones: abc.Mapping[str, str]) -> None:
         """Set the other daemons that the platform or the peers list.
 
         :param zones: zone by daemon name, without this daemon
@@ -112,7 +112,7 @@
         :param is_current: whether the peer knows its revision to be current
         """
         self.check_pause()
-        self.learn(revision)
+        self.learn_revision(revision)
         if is_current:
             self._answers[daemon] = revision
             self._confirm()
@@ -164,7 +164,7 @@
     row = reading.ok_value
     if row is not None and int(row.value[REVISION_FIELD]) >= revision:
         return result.Ok(int(row.value[REVISION_FIELD]))
-    written = store.transact_settled(
+    written = store.transact_with_readback(
         table_store,
         operation_id,
         [store.Condition(TABLE, key, row.revision if row is not None else None)],
--- a/src/endivevane/coordination/fencing.py
+++ b/src/endivevane/coordination/fencing.py
@@ -15,7 +15,7 @@
 class Ownership:
     """A group of engines that this daemon owns.
 
-    :param fencing_number: revision of the ``owners`` row, to be sent with each order
+    :param fencing_token: revision of the ``owners`` row, to be sent with each order
     :param epoch: session epoch under which the group was acquired
     :param quiet_until_s: monotonic time before which engines that ignore fencing
         numbers may still run an order of the previous owner
@@ -23,7 +23,7 @@
 
     group: str
     epoch: int
-    fencing_number: int
+    fencing_token: int
     quiet_until_s: float
 
 
@@ -40,7 +40,7 @@
     owner, owner_epoch = str(row.value["owner"]), int(row.value["owner_epoch"])
     if owner == daemon:
         return owner_epoch != epoch
-    return observer.is_lapsed(owner, owner_epoch)
+    return observer.is_expired(owner, owner_epoch)
 
 
 def acquire(
@@ -58,7 +58,7 @@
     :returns: the fencing number
     """
     value = {"owner": daemon, "owner_epoch": epoch}
-    return store.transact_settled(
+    return store.transact_with_readback(
         table_store,
         operation_id,
         [store.Condition(TABLE, group, row.revision if row is not None else None)],
@@ -94,7 +94,7 @@
         """
         quiet_until_s = self._clock.monotonic_s() + self._quiet_s
         known = self._owned.get(group)
-        if known is not None and known.fencing_number >= fencing_number:
+        if known is not None and known.fencing_token >= fencing_number:
             return
         self._owned[group] = Ownership(group, epoch, fencing_number, quiet_until_s)
 
--- a/src/endivevane/coordination/lease.py
+++ b/src/endivevane/coordination/lease.py
@@ -195,7 +195,7 @@
         if epoch is None:
             epoch = max(attempt.least_epoch, row_epoch + 1)
     value = {**attempt.fields, EPOCH_FIELD: epoch}
-    written = store.transact_settled(
+    written = store.transact_with_readback(
         table_store,
         attempt.operation_id,
         [store.Condition(TABLE, attempt.daemon, revision)],
@@ -261,7 +261,7 @@
             return
         self._sightings[daemon] = _Sighting(row, finished_s, started_s)
 
-    def is_lapsed(self, daemon: str, epoch: int) -> bool:
+    def is_expired(self, daemon: str, epoch: int) -> bool:
         """Tell whether an epoch of a daemon is certainly over.
 
         An absent row and another epoch in the row are certain when they were read
@@ -278,7 +278,7 @@
             return sighting.last_s > asked_s
         return self._is_unchanged(sighting.row, sighting)
 
-    def list_lapsed(self) -> list[str]:
+    def list_expired(self) -> list[str]:
         """Return daemons whose row is present but unchanged for too long."""
         return [
             daemon
--- a/src/endivevane/coordination/links.py
+++ b/src/endivevane/coordination/links.py
@@ -4,7 +4,7 @@
 
 import random
 
-from endivevane.coordination import members, probes, roster
+from endivevane.coordination import members, membership_view, probes
 
 _HEARD_INTERVALS = 10
 _REJOIN_SHARE = 0.25
@@ -22,8 +22,8 @@
 
     def __init__(
         self,
-        view: roster.Roster,
-        book: probes.ProbeBook,
+        view: membership_view.MembershipView,
+        book: probes.ProbeRegistry,
         settings: probes.DetectorSettings,
         generator: random.Random,
     ) -> None:
@@ -106,7 +106,7 @@
                 contacts.append(names[offset % len(names)])
         return contacts
 
-    def is_region_heard(self, region: str, now_s: float) -> bool:
+    def was_region_seen(self, region: str, now_s: float) -> bool:
         """Tell whether a member of a region has sent something lately."""
         horizon_s = now_s - _HEARD_INTERVALS * self._settings.probe_interval_s
         for name, heard_s in self._heard_s.items():
--- a/src/endivevane/coordination/membership.py
+++ b/src/endivevane/coordination/membership.py
@@ -10,11 +10,11 @@
 from endivevane.coordination import (
     budget,
     clock,
-    exchange,
+    gossip_messages,
     links,
     members,
+    membership_view,
     probes,
-    roster,
 )
 
 _REPAIR_PUSHES = 3
@@ -28,7 +28,7 @@
 _PUSHES_BURST = 240.0
 _CHECKS_PER_S = 3.0
 _CHECKS_BURST = 60.0
-_SYNC_MESSAGES = (exchange.SyncRequest, exchange.SyncRows)
+_SYNC_MESSAGES = (gossip_messages.SyncRequest, gossip_messages.SyncRows)
 _ACCUSED = (members.MemberState.SUSPECT, members.MemberState.DEAD)
 
 
@@ -64,10 +64,10 @@
         me = members.Member(
             name, incarnation, members.MemberState.ALIVE, description, now_s
         )
-        self._view = roster.Roster(me, settings)
-        self._book = probes.ProbeBook(settings)
+        self._view = membership_view.MembershipView(me, settings)
+        self._book = probes.ProbeRegistry(settings)
         self._links = links.LinkChooser(self._view, self._book, settings, generator)
-        self._outgoing: list[exchange.Outgoing] = []
+        self._outgoing: list[gossip_messages.Outgoing] = []
         self._broken: list[str] = []
         self._has_new_revision = False
         self._last_call_s = now_s
@@ -107,20 +107,20 @@
         """Return members that this daemon exchanges probes with at present."""
         return self._links.list_links(self._last_call_s)
 
-    def is_region_heard(self, region: str) -> bool:
+    def was_region_seen(self, region: str) -> bool:
         """Tell whether a member of a region has sent something lately."""
-        return self._links.is_region_heard(region, self._last_call_s)
+        return self._links.was_region_seen(region, self._last_call_s)
 
-    def take_outgoing(self) -> list[exchange.Outgoing]:
+    def take_outgoing(self) -> list[gossip_messages.Outgoing]:
         """Return the messages to send, in order."""
         outgoing, self._outgoing = self._outgoing, []
         return outgoing
 
-    def take_events(self) -> list[roster.MemberChanged]:
+    def take_events(self) -> list[membership_view.MemberChanged]:
         """Return the changes since the last call."""
         return self._view.take_events()
 
-    def take_broken(self) -> list[str]:
+    def take_reconnects(self) -> list[str]:
         """Return members whose connection should be opened anew."""
         broken, self._broken = self._broken, []
         return broken
@@ -133,7 +133,7 @@
         """Record that the platform lists a member as leaving."""
         self._view.report(name, members.MemberState.LEAVING, self._last_call_s)
 
-    def report_lapsed(self, name: str) -> None:
+    def report_session_expired(self, name: str) -> None:
         """Record that the session of a member that can't be heard has lapsed."""
         self._view.report(name, members.MemberState.DEAD, self._last_call_s)
 
@@ -157,7 +157,7 @@
         """Ask a member, known or not, for its table."""
         self._send_sync_request(receiver)
 
-    def handle(self, message: exchange.Message) -> None:
+    def handle(self, message: gossip_messages.Message) -> None:
         """Process one received message."""
         self._detect_pause()
         header = message.header
@@ -179,31 +179,31 @@
             self._view.merge([update], self._last_call_s)
 
     @functools.singledispatchmethod
-    def _react(self, message: exchange.Message) -> None:
+    def _react(self, message: gossip_messages.Message) -> None:
         """Do what a message asks for beyond its header."""
 
     @_react.register
-    def _react_to_ping(self, message: exchange.Ping) -> None:
+    def _react_to_ping(self, message: gossip_messages.Ping) -> None:
         header = message.header
         reply = self._make_header(header.sender)
         if any(update.name == self.me.name for update in header.updates):
             own = members.make_update(self.me)
             reply = dataclasses.replace(reply, updates=(own, *reply.updates))
-        self._send(header.sender, exchange.Ack(reply, message.sequence))
+        self._send(header.sender, gossip_messages.Ack(reply, message.sequence))
 
     @_react.register
-    def _react_to_ack(self, message: exchange.Ack) -> None:
+    def _react_to_ack(self, message: gossip_messages.Ack) -> None:
         relay = self._book.finish_relay(message.sequence)
         if relay is not None:
             header = self._make_header(relay.origin)
-            self._send(relay.origin, exchange.Ack(header, relay.sequence))
+            self._send(relay.origin, gossip_messages.Ack(header, relay.sequence))
             return
         name = self._book.resolve(message.sequence, self._last_call_s)
         if name is not None:
             self._view.clear_unannounced(name)
 
     @_react.register
-    def _react_to_request(self, message: exchange.ProbeRequest) -> None:
+    def _react_to_request(self, message: gossip_messages.ProbeRequest) -> None:
         if self.table.get(message.target) is None:
             return
         origin = message.header.sender
@@ -212,13 +212,13 @@
             self._send_ping(message.target, number)
 
     @_react.register
-    def _react_to_sync(self, message: exchange.SyncRequest) -> None:
+    def _react_to_sync(self, message: gossip_messages.SyncRequest) -> None:
         is_different = message.digest != self.table.compute_digest()
         if is_different and self._rows_budget.take(1, self._last_call_s):
             self._send_rows(message.header.sender, is_answer_wanted=True)
 
     @_react.register
-    def _react_to_rows(self, message: exchange.SyncRows) -> None:
+    def _react_to_rows(self, message: gossip_messages.SyncRows) -> None:
         if message.is_answer_wanted and self._rows_budget.take(1, self._last_call_s):
             self._send_rows(message.header.sender, is_answer_wanted=False)
 
@@ -294,7 +294,7 @@
         self._send_ping(name, sequence)
         for helper in self._links.choose_helpers(name, now_s):
             header = self._make_header(helper)
-            self._send(helper, exchange.ProbeRequest(header, sequence, name))
+            self._send(helper, gossip_messages.ProbeRequest(header, sequence, name))
         # The successors of one that may be dead have one watcher less.
         for ring in range(self._settings.rings):
             if name not in self._links.list_targets(ring):
@@ -309,21 +309,21 @@
 
     # Sending
 
-    def _send(self, receiver: str, message: exchange.Message) -> None:
-        self._outgoing.append(exchange.Outgoing(receiver, message))
+    def _send(self, receiver: str, message: gossip_messages.Message) -> None:
+        self._outgoing.append(gossip_messages.Outgoing(receiver, message))
 
     def _take_updates(self) -> tuple[members.Update, ...]:
         return self._view.queue.take(self._settings.max_updates, len(self.table))
 
     def _make_header(
         self, receiver: str, updates: abc.Iterable[members.Update] | None = None
-    ) -> exchange.Header:
+    ) -> gossip_messages.Header:
         """Return a header; one to an accused member tells it of the accusation."""
         chosen = list(self._take_updates() if updates is None else updates)
         member = self.table.get(receiver)
         if member is not None and member.state in _ACCUSED:
             chosen.append(members.make_update(member, with_description=False))
-        return exchange.Header(
+        return gossip_messages.Header(
             self.me.name,
             self.me.incarnation,
             self.known_revision,
@@ -332,17 +332,19 @@
         )
 
     def _send_ping(self, receiver: str, sequence: int) -> None:
-        self._send(receiver, exchange.Ping(self._make_header(receiver), sequence))
+        self._send(
+            receiver, gossip_messages.Ping(self._make_header(receiver), sequence)
+        )
 
     def _send_sync_request(self, receiver: str) -> None:
         header = self._make_header(receiver, [members.make_update(self.me)])
         digest = self.table.compute_digest()
-        self._send(receiver, exchange.SyncRequest(header, digest))
+        self._send(receiver, gossip_messages.SyncRequest(header, digest))
 
     def _send_rows(self, receiver: str, is_answer_wanted: bool) -> None:
         rows = [members.make_update(member) for member in self.table]
         header = self._make_header(receiver, rows)
-        self._send(receiver, exchange.SyncRows(header, is_answer_wanted))
+        self._send(receiver, gossip_messages.SyncRows(header, is_answer_wanted))
 
     def _push(self, now_s: float) -> None:
         """Send new updates to all links at once instead of with the next probes."""
@@ -363,7 +365,7 @@
         count = self._settings.max_pushed_updates
         updates = queue.take(count, len(self.table), copies=len(names))
         for name in names:
-            self._send(name, exchange.Gossip(self._make_header(name, updates)))
+            self._send(name, gossip_messages.Gossip(self._make_header(name, updates)))
 
     def _jitter(self, interval_s: float) -> float:
         return interval_s * self._random.uniform(0.8, 1.0)
--- a/src/endivevane/coordination/roster.py
+++ b/src/endivevane/coordination/membership_view.py
@@ -19,7 +19,7 @@
     member: members.Member
 
 
-class Roster:
+class MembershipView:
     """Members, suspicions with their deadlines, and updates to pass on.
 
     :param me: this daemon
--- a/src/endivevane/coordination/probes.py
+++ b/src/endivevane/coordination/probes.py
@@ -73,7 +73,7 @@
     expires_s: float
 
 
-class ProbeBook:
+class ProbeRegistry:
     """Probes and relays in flight, both bounded in number.
 
     :param settings: times and bounds
--- a/src/endivevane/coordination/register.py
+++ b/src/endivevane/coordination/register.py
@@ -64,14 +64,14 @@
     """The key belongs to a call with another content."""
 
 
-Sight = Claim | Finished | MayHaveRun | Expired | KeyReused
+ClaimResult = Claim | Finished | MayHaveRun | Expired | KeyReused
 
 
-class Recording(enum.StrEnum):
+class RecordStatus(enum.StrEnum):
     """Where an outcome or a release is now."""
 
     STORED = "stored"
-    LATER = "later"
+    DEFERRED = "later"
     LOST = "lost"
 
 
@@ -114,7 +114,7 @@
         digest: str,
         now_ms: int,
         may_continue: abc.Callable[[], bool] = lambda: True,
-    ) -> result.Result[Sight, store.StoreError]:
+    ) -> result.Result[ClaimResult, store.StoreError]:
         """Claim a key, or say what is known of it.
 
         :param digest: digest of the call's content
@@ -131,7 +131,7 @@
             revision=None,
         )
         condition = store.Condition(TABLE, claim.row_key, None)
-        outcome = store.transact_settled(
+        outcome = store.transact_with_readback(
             self._store,
             claim.operation_id,
             [condition],
@@ -148,20 +148,20 @@
             self._put_off(_Pending(claim, None))
         return result.Err(error)
 
-    def record(self, claim: Claim, outcome: dict[str, typing.Any]) -> Recording:
+    def record(self, claim: Claim, outcome: dict[str, typing.Any]) -> RecordStatus:
         """Store the outcome of a call, now or later.
 
         :param outcome: JSON object that a later sight of the key returns
         """
         return self._change(_Pending(claim, outcome))
 
-    def release(self, claim: Claim) -> Recording:
+    def release(self, claim: Claim) -> RecordStatus:
         """Give up a claim whose call provably did not run, now or later."""
         return self._change(_Pending(claim, None))
 
-    def record_later(
+    def defer(
         self, claim: Claim, outcome: dict[str, typing.Any] | None
-    ) -> Recording:
+    ) -> RecordStatus:
         """Put an outcome off without trying the store.
 
         :param outcome: ``None`` releases the claim
@@ -191,7 +191,7 @@
 
     def _describe(
         self, error: store.StoreConflict, claim: Claim
-    ) -> result.Result[Sight, store.StoreError]:
+    ) -> result.Result[ClaimResult, store.StoreError]:
         """Tell what another claim of the key means for this one."""
         row = error.rows.get((TABLE, claim.row_key))
         if row is None:
@@ -205,17 +205,17 @@
             return result.Ok(Expired(row.value["has_run"]))
         return result.Ok(MayHaveRun(row.value["claimed_ms"]))
 
-    def _change(self, pending: _Pending) -> Recording:
+    def _change(self, pending: _Pending) -> RecordStatus:
         if self._apply(pending):
-            return Recording.STORED
+            return RecordStatus.STORED
         return self._put_off(pending)
 
-    def _put_off(self, pending: _Pending) -> Recording:
+    def _put_off(self, pending: _Pending) -> RecordStatus:
         with self._lock:
             if len(self._backlog) >= self._backlog_size:
-                return Recording.LOST
+                return RecordStatus.LOST
             self._backlog.append(pending)
-            return Recording.LATER
+            return RecordStatus.DEFERRED
 
     def _apply(self, pending: _Pending) -> bool:
         """Make a change; return whether nothing is left to do."""
@@ -231,7 +231,7 @@
             revision = row.revision
         if pending.outcome is None:
             return self._delete(claim, revision)
-        outcome = store.transact_settled(
+        outcome = store.transact_with_readback(
             self._store,
             f"{claim.operation_id}.outcome",
             [store.Condition(TABLE, claim.row_key, revision)],
--- a/src/endivevane/coordination/shares.py
+++ b/src/endivevane/coordination/shares.py
@@ -16,10 +16,10 @@
     """Bounds of the division.
 
     :param floor_share: part of the rate that is divided evenly and needs no message
-    :param settle_s: time in which an announcement reaches all daemons; an own increase
-        counts only after it
+    :param propagation_s: time in which an announcement reaches all daemons; an own
+        increase counts only after it
     :param ramp_s: time in which a share grows from nothing to the whole rate; bounds
-        the excess when announcements take longer than ``settle_s``
+        the excess when announcements take longer than ``propagation_s``
     :param refresh_s: time between two announcements of an unchanged need
     :param copies: how often a daemon passes on one announcement
     :param max_entries_per_s: announcements that a daemon sends, own and others'; with
@@ -30,7 +30,7 @@
     """
 
     floor_share: float = 0.1
-    settle_s: float = 3.0
+    propagation_s: float = 3.0
     ramp_s: float = 4.0
     refresh_s: float = 4.0
     copies: int = 4
@@ -72,7 +72,8 @@
     other daemons, piggybacked on messages that go around anyway, and passes what it
     receives to :meth:`receive`.
 
-    While announcements spread within ``settle_s``, the shares of all daemons add up to
+    While announcements spread within ``propagation_s``, the shares of all daemons add
+    up to
     the rate at most: a daemon counts the least that it announced during that time for
     itself, and others count at least as much for it, so that its share is at most its
     part of one common max-min division.
@@ -104,9 +105,9 @@
         self._shared_s = self._announced_s
 
     @property
-    def settle_s(self) -> float:
+    def propagation_s(self) -> float:
         """Time after which an own increase counts now."""
-        return self._settings.settle_s * self._stretch()
+        return self._settings.propagation_s * self._stretch()
 
     def set_members(self, alive: abc.Collection[str], known_count: int) -> None:
         """Set the live members, this daemon included.
@@ -119,7 +120,7 @@
         """
         self._members = max(1, len(alive))
         self._is_majority = 2 * len(alive) >= known_count
-        until_s = self._clock.monotonic_s() + self.settle_s
+        until_s = self._clock.monotonic_s() + self.propagation_s
         for name, known in self._known.items():
             if name not in alive:
                 known.expires_s = min(known.expires_s, until_s)
@@ -224,7 +225,7 @@
             name for name, known in self._known.items() if known.expires_s <= now_s
         ]:
             del self._known[name]
-        settled_s = now_s - self.settle_s
+        settled_s = now_s - self.propagation_s
         # The last need from before the settle time was in force at its beginning.
         while len(self._history) > 1 and self._history[1][0] <= settled_s:
             self._history.popleft()
--- a/src/endivevane/coordination/store.py
+++ b/src/endivevane/coordination/store.py
@@ -140,7 +140,7 @@
         """Apply all writes if all conditions hold; return the new revision."""
 
 
-def transact_settled(
+def transact_with_readback(
     store: TableStore,
     operation_id: str,
     conditions: abc.Sequence[Condition],
--- a/src/endivevane/daemon/batch_port.py
+++ b/src/endivevane/daemon/batch_port.py
@@ -82,7 +82,7 @@
                 return False
             if owner not in self._observed:
                 self._observe(owner, self._last)
-            return self._observer.is_lapsed(owner, epoch)
+            return self._observer.is_expired(owner, epoch)
 
     def snapshot(self) -> snapshot.Snapshot:
         """Return the configuration in force."""
--- a/src/endivevane/entry/event_loop.py
+++ b/src/endivevane/entry/event_loop.py
@@ -9,7 +9,7 @@
 _MOST_LEFT_OUT = 3
 
 
-class ThriftySelector(selectors.DefaultSelector):
+class PollSkippingSelector(selectors.DefaultSelector):
     """Leaves out most looks at the sockets that would not wait.
 
     The loop looks at all sockets before each round of callbacks. While callbacks follow
@@ -35,4 +35,4 @@
 
 def make_loop() -> asyncio.AbstractEventLoop:
     """Return a new event loop."""
-    return asyncio.SelectorEventLoop(ThriftySelector())
+    return asyncio.SelectorEventLoop(PollSkippingSelector())
--- a/src/endivevane/entry/operations.py
+++ b/src/endivevane/entry/health_endpoints.py
@@ -7,10 +7,10 @@
 
 import prometheus_client
 
-from endivevane.serving import ingress, model, responder
+from endivevane.serving import http_server, model, responder
 
 
-def make_readiness(is_ready: abc.Callable[[], bool]) -> ingress.Handler:
+def make_readiness(is_ready: abc.Callable[[], bool]) -> http_server.Handler:
     """Return the handler that says whether clients may be sent here."""
 
     async def answer_readiness(
@@ -19,7 +19,7 @@
         status = http.HTTPStatus.OK
         if not is_ready():
             status = http.HTTPStatus.SERVICE_UNAVAILABLE
-        answer.send(responder.WholeAnswer(status))
+        answer.send(responder.Response(status))
 
     return answer_readiness
 
@@ -30,6 +30,4 @@
     """Send the metrics of this process as text."""
     body = prometheus_client.generate_latest()
     content_type = prometheus_client.CONTENT_TYPE_LATEST
-    answer.send(
-        responder.WholeAnswer(http.HTTPStatus.OK, body, content_type=content_type)
-    )
+    answer.send(responder.Response(http.HTTPStatus.OK, body, content_type=content_type))
--- a/src/endivevane/entry/inspection.py
+++ b/src/endivevane/entry/inspection.py
@@ -179,7 +179,7 @@
         zone=target.availability_zone,
         address=f"{target.host}:{target.port}",
         slots=target.slots,
-        state="leaving" if target.is_leaving else "ready",
+        state="leaving" if target.is_draining else "ready",
     )
 
 
--- a/src/endivevane/entry/membership.py
+++ b/src/endivevane/entry/membership.py
@@ -7,7 +7,7 @@
 import orjson
 
 from endivevane import exceptions, logs
-from endivevane.serving import jobs, roster, store
+from endivevane.serving import jobs, peer_registry, store
 
 _RETRY_S = 0.5
 
@@ -16,7 +16,10 @@
     """Names this daemon in the store and takes in the rows of the others."""
 
     def __init__(
-        self, identity: roster.Identity, members: roster.Roster, rows: store.Store
+        self,
+        identity: peer_registry.Identity,
+        members: peer_registry.PeerRegistry,
+        rows: store.Store,
     ) -> None:
         self._identity = identity
         self._roster = members
@@ -52,7 +55,7 @@
         self._roster.add(peer)
 
 
-def encode_member(identity: roster.Identity) -> bytes:
+def encode_member(identity: peer_registry.Identity) -> bytes:
     """Return what the row of a daemon holds."""
     return orjson.dumps(
         (
@@ -65,14 +68,14 @@
     )
 
 
-def decode_member(name: str, value: bytes) -> roster.Peer:
+def decode_member(name: str, value: bytes) -> peer_registry.Peer:
     """Return the daemon of a row.
 
     :raises exceptions.ProtocolError: when the row does not describe one
     """
     try:
         region, host, port, incarnation, weight = orjson.loads(value)
-        return roster.Peer(
+        return peer_registry.Peer(
             name,
             str(region),
             str(host),
--- a/src/endivevane/entry/standstill.py
+++ b/src/endivevane/entry/process_pause.py
@@ -13,7 +13,7 @@
 _STANDSTILL_S = 0.8
 
 
-async def watch_standstills(on_standstill: abc.Callable[[], None]) -> None:
+async def watch_process_pauses(on_standstill: abc.Callable[[], None]) -> None:
     """Call a function after each pause of the process, until cancelled.
 
     The boot-time clock also counts the time for which a VM was suspended.
--- a/src/endivevane/entry/store_endpoints.py
+++ b/src/endivevane/entry/store_endpoints.py
@@ -7,7 +7,7 @@
 
 from endivevane import types
 from endivevane.entry import settings
-from endivevane.serving import http_client, roster
+from endivevane.serving import http_client, peer_registry
 
 # Other daemons that a store call may try besides the store.
 _RELAYS = 2
@@ -21,7 +21,7 @@
     def __init__(
         self,
         loaded: settings.Settings,
-        members: roster.Roster,
+        members: peer_registry.PeerRegistry,
         generator: random.Random,
     ) -> None:
         self.store = _make_endpoint(loaded)
@@ -57,7 +57,7 @@
         usable = [item for item in relays if item.paused_until_s <= now_s]
         return usable[:_RELAYS]
 
-    def _find_relay(self, peer: roster.Peer) -> http_client.Endpoint:
+    def _find_relay(self, peer: peer_registry.Peer) -> http_client.Endpoint:
         endpoint = self._relays.get(peer.host)
         if endpoint is None:
             endpoint = http_client.Endpoint(peer.host, peer.port)
--- a/src/endivevane/entry/wiring.py
+++ b/src/endivevane/entry/wiring.py
@@ -11,11 +11,11 @@
 
 from endivevane import exceptions, logs, metrics, types
 from endivevane.entry import (
+    health_endpoints,
     membership,
-    operations,
-    reloading,
+    process_pause,
     settings,
-    standstill,
+    settings_reload,
     store_endpoints,
 )
 from endivevane.platform import (
@@ -27,34 +27,34 @@
 )
 from endivevane.serving import (
     admission,
-    batch_places,
+    batch_slots,
     coordinator,
-    directory,
-    exchange,
     follower,
-    front_door,
     http_client,
-    ingress,
+    http_server,
     job_api,
-    job_book,
     job_changes,
-    job_claims,
     job_reader,
+    job_registry,
     job_runner,
     job_sweeper,
+    job_takeover,
     jobs,
-    load_board,
+    load_table,
     model,
     newest_version,
+    online_service,
+    peer_registry,
     peers,
-    place_client,
-    place_queue,
-    placement,
-    places,
-    roster,
+    request_router,
     routing_table,
+    slot_client,
+    slot_queue,
+    slot_registry,
     store,
-    target_calls,
+    target_client,
+    target_registry,
+    target_selection,
 )
 
 # A connection between regions takes two round trips of 40 ms.
@@ -83,7 +83,7 @@
         self._settings = loaded
         self._path = path
         self._generator = random.Random(secrets.randbits(64))
-        self._identity = roster.Identity(
+        self._identity = peer_registry.Identity(
             name=loaded.vm.name,
             region=loaded.vm.region,
             incarnation=secrets.token_hex(4),
@@ -94,10 +94,10 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._stop_asked = asyncio.Event()
         self._is_stopping = False
-        self._board = load_board.LoadBoard()
+        self._board = load_table.LoadTable()
         self._newest = newest_version.NewestVersion()
-        self._roster = roster.Roster(self._identity)
-        self._book_of_places = places.PlaceBook(self._board)
+        self._roster = peer_registry.PeerRegistry(self._identity)
+        self._book_of_places = slot_registry.SlotRegistry(self._board)
         self._network = peers.PeerNetwork(
             self._identity,
             self._roster,
@@ -120,7 +120,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop_asked.set)
-        watch = reloading.SettingsWatch(
+        watch = settings_reload.SettingsWatch(
             self._path, self._settings, self._apply_settings
         )
         loop.add_signal_handler(signal.SIGHUP, watch.request)
@@ -142,7 +142,7 @@
             self._members.join(),
             self._drop_expired(),
             watch.run(),
-            standstill.watch_standstills(self._note_standstill),
+            process_pause.watch_process_pauses(self._note_standstill),
         ):
             self._tasks.append(asyncio.ensure_future(job))
         await self._stop_asked.wait()
@@ -155,13 +155,13 @@
         self._store_pool = http_client.ConnectionPool(_CONNECT_TIMEOUT_S)
         self._store = table_store.TableStore(self._store_pool, self._endpoints.list_all)
         self._members = membership.Membership(self._identity, self._roster, self._store)
-        self._book = job_book.JobBook()
+        self._book = job_registry.JobRegistry()
         self._state_feed = follower.TableFollower(
             self._store,
             jobs.STATE_TABLE,
             jobs.PARTITION,
             self._on_state_row,
-            pause_s=_STATE_PAUSE_S,
+            coalesce_s=_STATE_PAUSE_S,
             on_loaded=self._settle_when_known,
             newest=self._newest,
         )
@@ -170,7 +170,7 @@
             records.TARGETS_TABLE,
             "",
             lambda row: self._directory.apply(row, time.monotonic()),
-            lambda: self._directory.note_store_return(time.monotonic()),
+            lambda: self._directory.record_store_recovery(time.monotonic()),
             on_loaded=self._open_when_known,
         )
         self._configuration_feed = follower.TableFollower(
@@ -179,24 +179,24 @@
 
     def _make_targets(self) -> None:
         vm = self._settings.vm
-        self._directory = directory.Directory(records.decode_target)
-        location = placement.Location(
+        self._directory = target_registry.TargetRegistry(records.decode_target)
+        location = target_selection.Location(
             vm.availability_zone, vm.region, dict(self._settings.regions)
         )
-        self._choices = placement.Placement(
+        self._choices = target_selection.TargetSelector(
             location,
             self._directory,
             self._board,
             self._generator,
         )
-        queue = place_queue.PlaceQueue(self._choices, self._board, self._generator)
-        self._client = place_client.PlaceClient(
+        queue = slot_queue.SlotQueue(self._choices, self._board, self._generator)
+        self._client = slot_client.SlotClient(
             self._identity,
             vm.availability_zone,
             self._roster,
             self._directory,
             self._book_of_places,
-            self._network.send_place_message,
+            self._network.send_slot_message,
         )
         self._network.connect(
             self._client,
@@ -205,35 +205,35 @@
                 self._board,
                 queue,
                 self._choices,
-                self._network.send_place_message,
+                self._network.send_slot_message,
             ),
         )
         self._places = admission.Admission(queue, self._book_of_places, self._client)
         self._codec = headers.HeaderCodec()
-        self._caller = target_calls.TargetCaller(
+        self._caller = target_client.TargetClient(
             http_client.ConnectionPool(_CONNECT_TIMEOUT_S),
             self._codec,
-            self._directory.record_leaving,
+            self._directory.record_draining,
         )
-        self._directory.call_when_gone(self._caller.forget)
+        self._directory.add_removal_callback(self._caller.forget)
 
     def _make_jobs(self) -> None:
         self._changes = job_changes.JobChanges(
             self._store, self._state_feed, self._book, self._identity.owner
         )
         self._reader = job_reader.JobReader(
-            self._book, self._changes, lambda: self._network.spread_s
+            self._book, self._changes, lambda: self._network.propagation_s
         )
         self._runner = job_runner.JobRunner(
-            job_runner.RunnerParts(
+            job_runner.RunnerDependencies(
                 targets=self._directory,
-                board=self._board,
+                load_table=self._board,
                 choices=self._choices,
-                places=batch_places.BatchPlaces(
+                slots=batch_slots.BatchSlots(
                     self._choices, self._board, self._book_of_places, self._client
                 ),
                 caller=self._caller,
-                rows=self._store,
+                row_store=self._store,
                 changes=self._changes,
                 reader=self._reader,
                 routes=lambda: self._front_door.table,
@@ -242,9 +242,9 @@
                 owner=self._identity.owner,
             )
         )
-        self._book.call_when_changed(self._runner.take_change)
-        self._client.call_for_batch(self._runner.wake, self._runner.give_way_at)
-        self._claims = job_claims.JobClaims(
+        self._book.call_when_changed(self._runner.apply_change)
+        self._client.set_batch_callbacks(self._runner.wake, self._runner.preempt_slot)
+        self._claims = job_takeover.JobTakeover(
             self._identity,
             self._roster,
             self._state_feed,
@@ -261,12 +261,12 @@
         )
 
     def _make_servers(self) -> None:
-        online = exchange.OnlineService(
+        online = online_service.OnlineService(
             self._directory, self._board, self._places, self._caller, self._generator
         )
         codec = job_codec.JobCodec()
         batch = job_api.JobApi(codec, self._changes, self._reader, self._runner)
-        self._front_door = front_door.FrontDoor(online, batch, codec)
+        self._front_door = request_router.RequestRouter(online, batch, codec)
         relay = store_relay.StoreRelay(
             self._store_pool,
             lambda: self._endpoints.store,
@@ -275,19 +275,19 @@
                 (records.TARGETS_TABLE, self._targets_feed),
             ),
         )
-        self._clients = ingress.Server(
+        self._clients = http_server.Server(
             self._codec, self._front_door.handle, self._find_limits
         )
-        self._internal = ingress.Server(
+        self._internal = http_server.Server(
             self._codec, relay.handle, lambda: _INTERNAL_LIMITS
         )
-        self._readiness = ingress.Server(
+        self._readiness = http_server.Server(
             self._codec,
-            operations.make_readiness(lambda: self._is_ready),
+            health_endpoints.make_readiness(lambda: self._is_ready),
             lambda: _INTERNAL_LIMITS,
         )
-        self._metrics = ingress.Server(
-            self._codec, operations.answer_metrics, lambda: _INTERNAL_LIMITS
+        self._metrics = http_server.Server(
+            self._codec, health_endpoints.answer_metrics, lambda: _INTERNAL_LIMITS
         )
 
     async def _listen(self) -> None:
@@ -334,20 +334,20 @@
     def _open_when_known(self) -> None:
         """Let requests in once the configuration and the targets are known."""
         if self._front_door.table is not None and self._targets_feed.is_loaded:
-            self._front_door.is_open.set()
+            self._front_door.is_ready.set()
 
         self._settle_when_known()
 
     def _settle_when_known(self) -> None:
         """Coordinate the region, if it comes to that, once this daemon knows enough."""
-        is_known = self._front_door.is_open.is_set() and self._state_feed.is_loaded
-        if is_known and self._roster.settled_s == float("inf"):
-            self._roster.settled_s = time.monotonic() + _SETTLE_S
+        is_known = self._front_door.is_ready.is_set() and self._state_feed.is_loaded
+        if is_known and self._roster.warmed_up_s == float("inf"):
+            self._roster.warmed_up_s = time.monotonic() + _SETTLE_S
 
     def _note_standstill(self) -> None:
         """Hear of the others anew before anything is decided for them."""
-        self._claims.note_standstill()
-        self._roster.settled_s = time.monotonic() + _SETTLE_S
+        self._claims.record_process_pause()
+        self._roster.warmed_up_s = time.monotonic() + _SETTLE_S
 
     def _on_state_row(self, row: store.Row) -> None:
         key = row.row_key.key
@@ -357,7 +357,7 @@
             self._members.apply(row)
 
     def _on_report(self) -> None:
-        self._places.pump()
+        self._places.dispatch()
         self._runner.wake()
 
     async def _drop_expired(self) -> None:
@@ -367,17 +367,17 @@
 
     @property
     def _is_ready(self) -> bool:
-        return not self._is_stopping and self._front_door.is_open.is_set()
+        return not self._is_stopping and self._front_door.is_ready.is_set()
 
     async def _stop(self) -> None:
         """Leave the rotation, hand back batch work, and finish what was begun."""
         began_s = time.monotonic()
         self._is_stopping = True
         self._clients.is_stopping = True
-        logs.info("daemon_stopping", busy=self._clients.busy)
+        logs.info("daemon_stopping", busy=self._clients.active_connections)
         self._network.announce_stop()
         self._changes.stop_owning()
-        handing_back = asyncio.ensure_future(self._runner.hand_back())
+        handing_back = asyncio.ensure_future(self._runner.release_jobs())
         last_s = began_s + self._settings.stopping.grace_s - _GRACE_MARGIN_S
         await asyncio.sleep(_LEAVE_ROTATION_S)
         # Nothing new is taken from here on: handing back may wait for the store until
@@ -386,11 +386,11 @@
         while time.monotonic() < last_s:
             self._clients.close_idle()
             await asyncio.sleep(_STOP_LOOK_S)
-            if not self._clients.busy and handing_back.done():
+            if not self._clients.active_connections and handing_back.done():
                 break
         logs.info(
             "daemon_stopped",
-            cut=self._clients.busy,
+            cut=self._clients.active_connections,
             took_ms=int((time.monotonic() - began_s) * 1000),
         )
         for task in self._tasks:
--- a/src/endivevane/external/engine.py
+++ b/src/endivevane/external/engine.py
@@ -112,10 +112,10 @@
         return result.Ok(None)
 
     def send_order(
-        self, fencing_number: int, action: str, **arguments: str
+        self, fencing_token: int, action: str, **arguments: str
     ) -> result.Result[None, EngineError]:
         """Send an order with its fencing number."""
-        body = {"fencing_number": fencing_number, "action": action, **arguments}
+        body = {"fencing_number": fencing_token, "action": action, **arguments}
         outcome = self._call("POST", "/v1/orders", body)
         if isinstance(outcome, result.Err):
             return outcome
--- a/src/endivevane/online/at_most_once.py
+++ b/src/endivevane/online/at_most_once.py
@@ -97,7 +97,7 @@
         digest: str,
         now_ms: int,
         may_continue: abc.Callable[[], bool],
-    ) -> result.Result[register.Sight, store.StoreError]:
+    ) -> result.Result[register.ClaimResult, store.StoreError]:
         """Claim a key, see :meth:`register.Register.claim`."""
         if not self._turns.acquire(timeout=self._wait_s):
             return result.Err(store.StoreUnavailable("too many claims are waiting"))
@@ -136,15 +136,17 @@
             _WRITERS, thread_name_prefix="outcomes"
         )
 
-    def keep(self, claim: register.Claim, answer: Answer) -> register.Recording:
+    def keep(self, claim: register.Claim, answer: Answer) -> register.RecordStatus:
         """Store an answer, now or later."""
         return self._run(claim, answer)
 
-    def release(self, claim: register.Claim) -> register.Recording:
+    def release(self, claim: register.Claim) -> register.RecordStatus:
         """Give up a claim whose call provably did not run, now or later."""
         return self._run(claim, None)
 
-    def _run(self, claim: register.Claim, answer: Answer | None) -> register.Recording:
+    def _run(
+        self, claim: register.Claim, answer: Answer | None
+    ) -> register.RecordStatus:
         """Write on an executor's thread and wait for a short time only."""
         with self._lock:
             has_room = self._writes < _MAX_WRITES
@@ -155,11 +157,11 @@
         try:
             return future.result(self._patience_s)
         except concurrent.futures.TimeoutError:
-            return register.Recording.LATER
+            return register.RecordStatus.DEFERRED
 
     def _write(
         self, claim: register.Claim, answer: Answer | None
-    ) -> register.Recording:
+    ) -> register.RecordStatus:
         try:
             if answer is None:
                 return self._register.release(claim)
@@ -173,23 +175,23 @@
 
     def _write_later(
         self, claim: register.Claim, answer: Answer | None
-    ) -> register.Recording:
+    ) -> register.RecordStatus:
         if answer is None:
-            return self._register.record_later(claim, None)
+            return self._register.defer(claim, None)
         if len(answer.body) > _MAX_INLINE_BYTES:
             recording = self._put_off(_Waiting(claim, answer))
         else:
-            recording = self._register.record_later(claim, _describe(claim, answer))
-        if recording is register.Recording.LOST:
+            recording = self._register.defer(claim, _describe(claim, answer))
+        if recording is register.RecordStatus.LOST:
             logs.error("outcome_lost", key=claim.row_key)
         return recording
 
-    def _store(self, claim: register.Claim, answer: Answer) -> register.Recording:
+    def _store(self, claim: register.Claim, answer: Answer) -> register.RecordStatus:
         if len(answer.body) > _MAX_INLINE_BYTES and not self._put(claim, answer):
             recording = self._put_off(_Waiting(claim, answer))
         else:
             recording = self._register.record(claim, _describe(claim, answer))
-        if recording is register.Recording.LOST:
+        if recording is register.RecordStatus.LOST:
             logs.error("outcome_lost", key=claim.row_key)
         return recording
 
@@ -228,14 +230,14 @@
         outcome = self._objects.put(_name_object(claim), answer.body)
         return isinstance(outcome, result.Ok)
 
-    def _put_off(self, waiting: _Waiting) -> register.Recording:
+    def _put_off(self, waiting: _Waiting) -> register.RecordStatus:
         size_bytes = len(waiting.answer.body)
         with self._lock:
             if self._waiting_bytes + size_bytes > self._max_waiting_bytes:
-                return register.Recording.LOST
+                return register.RecordStatus.LOST
             self._waiting.append(waiting)
             self._waiting_bytes += size_bytes
-            return register.Recording.LATER
+            return register.RecordStatus.DEFERRED
 
 
 def _describe(claim: register.Claim, answer: Answer) -> dict[str, typing.Any]:
--- a/src/endivevane/orders/orders.py
+++ b/src/endivevane/orders/orders.py
@@ -134,7 +134,7 @@
         self._observed_s = owner_clock.monotonic_s()
         self._residence = residence.Residence()
         self._replicas = replicas.ReplicaTargets(settings.demand)
-        self._roles = roles.RoleKeeper()
+        self._roles = roles.RoleAssigner()
         self._states = states.EngineStates(
             make_client,
             executor,
@@ -159,11 +159,11 @@
         self._states.read_back(request.targets)
         known = self._states.states.values()
         highest = max((item.fencing_number for item in known), default=0)
-        if highest > owned.fencing_number:
+        if highest > owned.fencing_token:
             self._lose(highest)
             return
         views = self._states.make_views(
-            owned.fencing_number, self._may_order, request.load_shares
+            owned.fencing_token, self._may_order, request.load_shares
         )
         self._residence.observe(views, self._clock.monotonic_s())
         if not self._is_settled(request):
@@ -180,11 +180,11 @@
                 continue
             orders = plans.list_orders(view, plan.wanted[target.name])
             role = wanted_roles[target.name]
-            has_number = self._has_number(target, owned.fencing_number)
+            has_number = self._has_number(target, owned.fencing_token)
             if orders or role != view.role or not has_number:
                 sending.append((target, orders, role))
         outcomes = self._executor.map(
-            lambda item: self._send_to(item[0], item[1], item[2], owned.fencing_number),
+            lambda item: self._send_to(item[0], item[1], item[2], owned.fencing_token),
             sending,
         )
         if not all(list(outcomes)):
@@ -275,7 +275,7 @@
 
     def _observe(self, owner: str, epoch: int) -> None:
         """Read the session of the owner."""
-        self._observer.is_lapsed(owner, epoch)
+        self._observer.is_expired(owner, epoch)
         started_s = self._clock.monotonic_s()
         if started_s - self._observed_s > 3 * self._settings.interval_s:
             # After a gap, such as an outage of the store, the owner may renew first.
@@ -350,7 +350,7 @@
     def _may_send(self, target: snapshot.Target, number: int) -> bool:
         """Tell whether an order would be over before the own term ends."""
         owned = self.ownership
-        if owned is None or owned.fencing_number != number:
+        if owned is None or owned.fencing_token != number:
             return False
         if self._session.compute_remaining_s() <= self._settings.call_timeout_s:
             return False
--- a/src/endivevane/orders/roles.py
+++ b/src/endivevane/orders/roles.py
@@ -17,7 +17,7 @@
 _RESTORED_SHARE = 0.75
 
 
-class RoleKeeper:
+class RoleAssigner:
     """Gives engines their declared role, or decides it.
 
     Remembers whether roles are suspended because half of the engines are lost.
--- a/src/endivevane/orders/states.py
+++ b/src/endivevane/orders/states.py
@@ -23,7 +23,7 @@
         """Return what the engine has loaded."""
 
     def send_order(
-        self, fencing_number: int, action: str, **arguments: str
+        self, fencing_token: int, action: str, **arguments: str
     ) -> result.Result[None, engine.EngineError]:
         """Send an order with its fencing number."""
 
--- a/src/endivevane/platform/headers.py
+++ b/src/endivevane/platform/headers.py
@@ -129,11 +129,11 @@
             reason=reason,
             headers=_drop_connection_headers(raw),
             is_not_run=is_other_target or _NOT_RUN in found,
-            is_other_target=is_other_target,
+            is_wrong_target=is_other_target,
             attempt_id=found.get(_ATTEMPT, b""),
             is_signed=_SIGNATURE in found,
             idle_timeout_s=None if match is None else float(match.group(1)),
-            is_leaving=found.get(_LEAVING, b"0").strip() not in (b"", b"0"),
+            is_draining=found.get(_LEAVING, b"0").strip() not in (b"", b"0"),
         )
 
     def encode_item_headers(
--- a/src/endivevane/platform/records.py
+++ b/src/endivevane/platform/records.py
@@ -140,7 +140,7 @@
         event_gap_s=record.gapTargetMs / 1000.0,
         completion_s=record.completionTargetMs / 1000.0,
         retention_s=record.retentionS,
-        patience_s=_find_patience_s(record, kind),
+        stream_idle_timeout_s=_find_patience_s(record, kind),
         token_quota=record.cap,
     )
 
@@ -178,6 +178,6 @@
         port=number,
         availability_zone=record.zone,
         slots=record.slots,
-        is_leaving=record.state == "draining",
+        is_draining=record.state == "draining",
         started_ms=record.born,
     )
--- a/src/endivevane/platform/store_relay.py
+++ b/src/endivevane/platform/store_relay.py
@@ -45,16 +45,14 @@
     ) -> None:
         """Answer a call of another daemon."""
         if not request.path.startswith(_CALLS):
-            answer.send(responder.WholeAnswer(http.HTTPStatus.NOT_FOUND))
+            answer.send(responder.Response(http.HTTPStatus.NOT_FOUND))
             return
         whole = await self._forward(request)
         if whole is None:
             whole = self._answer_from_memory(request.path)
         answer.send(whole)
 
-    async def _forward(
-        self, request: model.ClientRequest
-    ) -> responder.WholeAnswer | None:
+    async def _forward(self, request: model.ClientRequest) -> responder.Response | None:
         """Make the call; ``None`` when the store certainly has not done it."""
         endpoint = self._endpoint()
         if endpoint.paused_until_s > time.monotonic():
@@ -78,22 +76,22 @@
             endpoint.record_failure()
             logs.limited_info("relayed_call_failed", cause=repr(error))
             if sent.is_set:
-                return responder.WholeAnswer(http.HTTPStatus.GATEWAY_TIMEOUT)
+                return responder.Response(http.HTTPStatus.GATEWAY_TIMEOUT)
             return None
         if reply.status in (429, 503):
             return None
-        return responder.WholeAnswer(reply.status, reply.body)
+        return responder.Response(reply.status, reply.body)
 
-    def _answer_from_memory(self, path: str) -> responder.WholeAnswer:
+    def _answer_from_memory(self, path: str) -> responder.Response:
         parsed = urllib.parse.urlsplit(path)
         query = urllib.parse.parse_qs(parsed.query)
         table = (query.get("table") or [""])[0]
         known = self._followers.get(table)
         is_whole_table = "from" not in query and "to" not in query
         if parsed.path != _READ_CALL or known is None or not is_whole_table:
-            return responder.WholeAnswer(http.HTTPStatus.SERVICE_UNAVAILABLE)
+            return responder.Response(http.HTTPStatus.SERVICE_UNAVAILABLE)
         if not known.is_loaded:
-            return responder.WholeAnswer(http.HTTPStatus.SERVICE_UNAVAILABLE)
+            return responder.Response(http.HTTPStatus.SERVICE_UNAVAILABLE)
         rows = [
             {
                 "table": row.row_key.table,
@@ -107,4 +105,4 @@
         body = orjson.dumps(
             {"rows": rows, "hasMore": False, "ver": known.version, "nowMs": 0}
         )
-        return responder.WholeAnswer(http.HTTPStatus.OK, body)
+        return responder.Response(http.HTTPStatus.OK, body)
--- a/src/endivevane/retention/platform_calls.py
+++ b/src/endivevane/retention/platform_calls.py
@@ -85,7 +85,7 @@
         self._pacer.take(pacing.Kind.ROWS_WRITTEN, 1)
         if not is_due():
             return None
-        outcome = store.transact_settled(
+        outcome = store.transact_with_readback(
             self._store,
             utils.make_id("retention"),
             [store.Condition(row.table, row.key, row.revision)],
--- a/src/endivevane/serving/admission.py
+++ b/src/endivevane/serving/admission.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from endivevane.serving import model, place_client, place_queue, places
+from endivevane.serving import model, slot_client, slot_queue, slot_registry
 
 # Waiting requests are looked at this often, besides after each change of the load.
 _TICK_S = 0.02
@@ -20,9 +20,9 @@
 
     def __init__(
         self,
-        queue: place_queue.PlaceQueue,
-        book: places.PlaceBook,
-        client: place_client.PlaceClient | None = None,
+        queue: slot_queue.SlotQueue,
+        book: slot_registry.SlotRegistry,
+        client: slot_client.SlotClient | None = None,
     ) -> None:
         self.queue = queue
         self._book = book
@@ -30,8 +30,8 @@
         self._timer: asyncio.TimerHandle | None = None
 
     async def acquire(
-        self, wish: place_queue.Wish
-    ) -> places.Place | place_queue.Refused:
+        self, wish: slot_queue.SlotRequest
+    ) -> slot_registry.Slot | slot_queue.Refused:
         """Return a place, which counts from now on, or why there is none."""
         if self._client is not None and self._client.is_active:
             answer = await self._client.ask(wish)
@@ -40,7 +40,7 @@
         return await self._acquire_here(wish)
 
     def release(
-        self, place: places.Place, hold_s: float, start_s: float | None = None
+        self, place: slot_registry.Slot, hold_s: float, start_s: float | None = None
     ) -> None:
         """Give a place back.
 
@@ -51,24 +51,24 @@
         self.queue.record_hold(place.target.service, hold_s)
         if self._client is not None and place.coordinator:
             self._client.end(place, hold_s, start_s)
-        self.pump()
+        self.dispatch()
 
-    def pump(self) -> None:
+    def dispatch(self) -> None:
         """Give free places to those who wait here."""
         self.queue.pump(time.monotonic())
 
     async def _acquire_here(
-        self, wish: place_queue.Wish
-    ) -> places.Place | place_queue.Refused:
+        self, wish: slot_queue.SlotRequest
+    ) -> slot_registry.Slot | slot_queue.Refused:
         """Get a place by what this daemon knows of the loads."""
-        future: asyncio.Future[places.Place | place_queue.Refused]
+        future: asyncio.Future[slot_registry.Slot | slot_queue.Refused]
         future = asyncio.get_running_loop().create_future()
 
-        def settle(verdict: place_queue.Verdict) -> None:
+        def settle(verdict: slot_queue.Verdict) -> None:
             if future.done():
                 # The client has left; its place was not counted.
                 return
-            if isinstance(verdict, place_queue.Refused):
+            if isinstance(verdict, slot_queue.Refused):
                 future.set_result(verdict)
                 return
             future.set_result(self._open(verdict.target))
@@ -86,12 +86,12 @@
         finally:
             self.queue.withdraw(waiter, time.monotonic())
 
-    def _open(self, target: model.Target) -> places.Place:
+    def _open(self, target: model.Target) -> slot_registry.Slot:
         return self._book.open(target, is_batch=False)
 
-    def _give_back(self, answer: places.Place | place_queue.Refused) -> None:
+    def _give_back(self, answer: slot_registry.Slot | slot_queue.Refused) -> None:
         """Undo the count of a place that nobody took."""
-        if isinstance(answer, places.Place):
+        if isinstance(answer, slot_registry.Slot):
             self._book.close(answer)
 
     def _arm(self) -> None:
@@ -102,6 +102,6 @@
 
     def _tick(self) -> None:
         self._timer = None
-        self.pump()
+        self.dispatch()
         if self.queue.waiting:
             self._arm()
--- a/src/endivevane/serving/attempts.py
+++ b/src/endivevane/serving/attempts.py
@@ -34,8 +34,8 @@
     :ivar ran_on: targets that may have run it
     :ivar gone: those of them that are known to have ended
     :ivar last_event_id: last event that the client has, or that it said it has
-    :ivar placed_s: monotonic time at which the current attempt got its place, 0 before
-        the first one
+    :ivar slot_granted_s: monotonic time at which the current attempt got its place, 0
+        before the first one
     :ivar coordinator: daemon that gave the current place, empty if this one did
     :ivar fruitless: runs in a row that brought no event
     :ivar causes: why attempts failed
@@ -57,7 +57,7 @@
     fruitless: int = 0
     causes: list[str] = dataclasses.field(default_factory=list)
     first_event_s: float | None = None
-    placed_s: float = 0.0
+    slot_granted_s: float = 0.0
     coordinator: str = ""
     delivered: int = 0
 
@@ -92,7 +92,7 @@
         objective_s=request.received_s + route.objective_s,
         deadline_s=deadline_s,
         last_event_id=request.last_event_id,
-        patience_until_s=request.received_s + route.patience_s,
+        patience_until_s=request.received_s + route.stream_idle_timeout_s,
         may_return=_is_first_try(request, route),
     )
 
--- a/src/endivevane/serving/batch_places.py
+++ b/src/endivevane/serving/batch_slots.py
@@ -7,23 +7,23 @@
 from collections import abc
 
 from endivevane.serving import (
-    item_pace,
-    load_board,
-    place_client,
-    placement,
-    places,
+    item_estimates,
+    load_table,
+    slot_client,
+    slot_registry,
+    target_selection,
 )
 
 # Items that a daemon starts in one round at most, and the shortest time between rounds.
-STARTS_AT_ONCE = 4
-TICK_S = 0.04
+MAX_STARTS_PER_ROUND = 4
+MIN_ROUND_INTERVAL_S = 0.04
 # The longest time between rounds where the coordinator tells of places as they come.
 _LONGEST_ROUND_S = 0.15
 # Items do not return to a target for this long after some have left it.
-REST_S = 0.5
+COOLDOWN_S = 0.5
 
 
-class BatchPlaces:
+class BatchSlots:
     """Gets and frees the places of this daemon's items.
 
     :param client: asks the coordinator, ``None`` where there is none
@@ -31,10 +31,10 @@
 
     def __init__(
         self,
-        choices: placement.Placement,
-        board: load_board.LoadBoard,
-        book: places.PlaceBook,
-        client: place_client.PlaceClient | None = None,
+        choices: target_selection.TargetSelector,
+        board: load_table.LoadTable,
+        book: slot_registry.SlotRegistry,
+        client: slot_client.SlotClient | None = None,
     ) -> None:
         self._choices = choices
         self._board = board
@@ -49,13 +49,13 @@
         return self._client is not None and self._client.is_active
 
     @property
-    def round_s(self) -> float:
+    def round_interval_s(self) -> float:
         """Time between two rounds; what is known of the loads is as old."""
         if self.is_coordinated:
             return _LONGEST_ROUND_S
-        return max(TICK_S, self._board.near_age_s)
+        return max(MIN_ROUND_INTERVAL_S, self._board.same_region_age_s)
 
-    def begin_round(self, waiting: abc.Mapping[str, int]) -> PlaceRound:
+    def begin_round(self, waiting: abc.Mapping[str, int]) -> SlotRound:
         """Return where the items of one round get their places.
 
         :param waiting: items that could start, by service
@@ -69,11 +69,11 @@
             return _CoordinatedRound(self._client)
         return _OwnViewRound(self._choices, self._book, self._list_resting(now_s))
 
-    def note_yielded(self, target_id: str) -> None:
+    def record_preemption(self, target_id: str) -> None:
         """Note that items leave a target for online requests."""
         self._yielded_s[target_id] = time.monotonic()
 
-    def release(self, place: places.Place, hold_s: float) -> None:
+    def release(self, place: slot_registry.Slot, hold_s: float) -> None:
         """Give a place back.
 
         :param hold_s: how long the item held it
@@ -85,17 +85,17 @@
     def _list_resting(self, now_s: float) -> frozenset[str]:
         """Return the targets that items have left a moment ago."""
         for target_id, yielded_s in list(self._yielded_s.items()):
-            if now_s - yielded_s > REST_S:
+            if now_s - yielded_s > COOLDOWN_S:
                 del self._yielded_s[target_id]
         return frozenset(self._yielded_s)
 
 
-class PlaceRound(typing.Protocol):
+class SlotRound(typing.Protocol):
     """Places for the items that a daemon starts at one moment."""
 
     def find(
-        self, service: str, urgency: item_pace.Urgency, due_left_s: float
-    ) -> places.Place | None:
+        self, service: str, urgency: item_estimates.Urgency, due_left_s: float
+    ) -> slot_registry.Slot | None:
         """Return a place for an item, ``None`` if there is none now.
 
         :param due_left_s: time until the item is due
@@ -107,8 +107,8 @@
 
     def __init__(
         self,
-        choices: placement.Placement,
-        book: places.PlaceBook,
+        choices: target_selection.TargetSelector,
+        book: slot_registry.SlotRegistry,
         resting: frozenset[str],
     ) -> None:
         self._choices = choices
@@ -120,12 +120,14 @@
         self._starts = 0
 
     def find(
-        self, service: str, urgency: item_pace.Urgency, due_left_s: float
-    ) -> places.Place | None:
+        self, service: str, urgency: item_estimates.Urgency, due_left_s: float
+    ) -> slot_registry.Slot | None:
         """Return a place for an item, ``None`` if there is none now."""
         now_s = time.monotonic()
-        is_urgent = urgency is item_pace.Urgency.URGENT
-        if self._starts >= STARTS_AT_ONCE or (service in self._full and not is_urgent):
+        is_urgent = urgency is item_estimates.Urgency.URGENT
+        if self._starts >= MAX_STARTS_PER_ROUND or (
+            service in self._full and not is_urgent
+        ):
             return None
         kind = (service, is_urgent)
         if kind not in self._budgets:
@@ -146,11 +148,11 @@
 class _CoordinatedRound:
     """Takes the places that the coordinator has given, and asks for more."""
 
-    def __init__(self, client: place_client.PlaceClient) -> None:
+    def __init__(self, client: slot_client.SlotClient) -> None:
         self._client = client
 
     def find(
-        self, service: str, urgency: item_pace.Urgency, due_left_s: float
-    ) -> places.Place | None:
+        self, service: str, urgency: item_estimates.Urgency, due_left_s: float
+    ) -> slot_registry.Slot | None:
         """Return a place for an item, ``None`` if there is none now."""
         return self._client.find_batch(service, urgency, due_left_s)
--- a/src/endivevane/serving/coordinated_reports.py
+++ b/src/endivevane/serving/coordinated_reports.py
@@ -11,11 +11,11 @@
 from endivevane import logs
 from endivevane.serving import (
     coordinator,
-    load_board,
+    load_table,
     newest_version,
     peer_messages,
+    peer_registry,
     region_reports,
-    roster,
 )
 
 # Time between two reports of a daemon, and the least for each daemon of the region,
@@ -49,9 +49,9 @@
 
     def __init__(
         self,
-        identity: roster.Identity,
-        members: roster.Roster,
-        board: load_board.LoadBoard,
+        identity: peer_registry.Identity,
+        members: peer_registry.PeerRegistry,
+        board: load_table.LoadTable,
         newest: newest_version.NewestVersion,
         regions: region_reports.RegionReports,
         make_held_report: HeldReport,
@@ -86,7 +86,9 @@
     @property
     def interval_s(self) -> float:
         """Time between two reports of a daemon, or two notices of the coordinator."""
-        return max(_INTERVAL_S, self._roster.count_near() * _INTERVAL_PER_PEER_S)
+        return max(
+            _INTERVAL_S, self._roster.count_region_peers() * _INTERVAL_PER_PEER_S
+        )
 
     def run_once(self, now_s: float) -> None:
         """Report, coordinate or look after the coordinator, as is due."""
@@ -94,14 +96,14 @@
         self._note_ranked(ranked, now_s)
         if now_s - self._reported_s >= self.interval_s:
             self.report(now_s)
-            self._board.drop_silent(now_s)
+            self._board.drop_stale_reports(now_s)
             if self._coordinator is not None:
                 self._coordinator.drop_silent(now_s)
         if self._roster.is_coordinator(now_s):
             self._coordinate(now_s)
             return
         self._is_coordinating = False
-        self._board.near_age_s = self.interval_s
+        self._board.same_region_age_s = self.interval_s
         most_missed = _MISSED_NOTICES
         if self._identity.name in ranked:
             most_missed = _MISSED_BY_DEPUTY
@@ -117,7 +119,7 @@
             if name != self._identity.name:
                 self._send(data, self._roster.peers[name])
 
-    def note_notice(self, name: str, now_s: float) -> None:
+    def handle_notice(self, name: str, now_s: float) -> None:
         """Note that a daemon coordinates, which may not be the first in rank here.
 
         It has passed over those before it; this daemon does so too unless it has heard
@@ -152,10 +154,10 @@
             self._is_coordinating = True
             logs.info("coordinating", region=self._identity.region)
         since_s = self._ranked_since_s or now_s
-        if now_s - since_s >= roster.DEATH_S:
-            self._roster.informed_s = now_s
-        self._board.near_age_s = 0.0
-        self._board.far_age_s = region_reports.SHORTEST_INTERVAL_S
+        if now_s - since_s >= peer_registry.DEAD_AFTER_S:
+            self._roster.membership_updated_s = now_s
+        self._board.same_region_age_s = 0.0
+        self._board.cross_region_age_s = region_reports.SHORTEST_INTERVAL_S
         self._regions.report(now_s, since_s)
         if self._coordinator is not None:
             self._coordinator.tick(now_s)
@@ -173,8 +175,8 @@
             for region in sorted(regions)
         )
         for state in states:
-            self._roster.note_silent(state)
-        notice = peer_messages.Notice(
+            self._roster.mark_unresponsive(state)
+        notice = peer_messages.MembershipNotice(
             name=self._identity.name,
             region=self._identity.region,
             incarnation=self._identity.incarnation,
@@ -185,6 +187,6 @@
         )
         data = peer_messages.encode(notice)
         is_lost_turn = self._notices % _LOST_PERIOD == 0
-        for peer in self._roster.list_near():
+        for peer in self._roster.list_region_peers():
             if is_lost_turn or not peer.is_lost(now_s):
                 self._send(data, peer)
--- a/src/endivevane/serving/coordinator.py
+++ b/src/endivevane/serving/coordinator.py
@@ -14,16 +14,16 @@
 
 from endivevane import logs
 from endivevane.serving import (
-    directory,
-    giving_way,
-    item_pace,
-    load_board,
+    item_estimates,
+    load_table,
     model,
-    place_messages,
-    place_queue,
-    placement,
-    places,
-    roster,
+    peer_registry,
+    preemption,
+    slot_messages,
+    slot_queue,
+    slot_registry,
+    target_registry,
+    target_selection,
 )
 
 # A place that a daemon does not name is free again after this time: its report may
@@ -56,12 +56,12 @@
     since_s: float
     service: str = ""
     availability_zone: str = ""
-    urgency: item_pace.Urgency = item_pace.Urgency.NORMAL
+    urgency: item_estimates.Urgency = item_estimates.Urgency.NORMAL
     due_s: float = 0.0
     avoided: frozenset[str] = frozenset()
     request: str = ""
     target_id: str = ""
-    waiter: place_queue.Waiter | None = None
+    waiter: slot_queue.Waiter | None = None
     told_s: float = 0.0
 
 
@@ -83,11 +83,11 @@
 
     def __init__(
         self,
-        targets: directory.Directory,
-        board: load_board.LoadBoard,
-        queue: place_queue.PlaceQueue,
-        choices: placement.Placement,
-        send: place_messages.Send,
+        targets: target_registry.TargetRegistry,
+        board: load_table.LoadTable,
+        queue: slot_queue.SlotQueue,
+        choices: target_selection.TargetSelector,
+        send: slot_messages.Send,
     ) -> None:
         self._targets = targets
         self._board = board
@@ -106,20 +106,20 @@
         """Whether any daemon holds or wants a place from here."""
         return bool(self._members)
 
-    def take(self, sender: str, message: place_messages.Message, now_s: float) -> None:
+    def handle(self, sender: str, message: slot_messages.Message, now_s: float) -> None:
         """Take in what a daemon asks for or gives back."""
         self._take(message, sender, now_s)
 
-    def refuse(self, sender: str, message: place_messages.Message) -> None:
+    def refuse(self, sender: str, message: slot_messages.Message) -> None:
         """Tell a daemon that asks that this one does not coordinate."""
-        if isinstance(message, place_messages.Ask):
-            self._send(sender, place_messages.NotCoordinating(message.number))
+        if isinstance(message, slot_messages.Acquire):
+            self._send(sender, slot_messages.NotCoordinating(message.number))
 
-    def take_holdings(
+    def apply_held_slots(
         self,
         sender: str,
         incarnation: str,
-        holdings: abc.Iterable[places.Holding],
+        holdings: abc.Iterable[slot_registry.HeldSlot],
         now_s: float,
     ) -> None:
         """Take in all places that a daemon holds."""
@@ -138,12 +138,12 @@
             known = self._targets.find(holding.target_id)
             entry.service = known.target.service if known is not None else ""
             member.entries[number] = entry
-            self._board.give(holding.target_id, holding.is_batch)
+            self._board.add_granted(holding.target_id, holding.is_batch)
 
     def drop_silent(self, now_s: float) -> None:
         """Free the places of daemons that are dead."""
         for name, member in list(self._members.items()):
-            if now_s - member.heard_s < roster.DEATH_S:
+            if now_s - member.heard_s < peer_registry.DEAD_AFTER_S:
                 continue
             for entry in list(member.entries.values()):
                 self._drop(member, entry, now_s)
@@ -170,21 +170,21 @@
         raise TypeError(f"not for a coordinator: {type(message).__name__}")
 
     @_take.register
-    def _(self, message: place_messages.Ask, sender: str, now_s: float) -> None:
+    def _(self, message: slot_messages.Acquire, sender: str, now_s: float) -> None:
         member = self._find_member(sender, message.incarnation, now_s)
         self._note_avoided(sender, message.avoided, now_s)
         entry = member.entries.get(message.number)
         if entry is None:
             self._begin(member, message, now_s)
         elif entry.target_id:
-            self._send(sender, place_messages.Granted(message.number, entry.target_id))
+            self._send(sender, slot_messages.Granted(message.number, entry.target_id))
         else:
             entry.since_s = now_s
             entry.avoided = frozenset(message.avoided)
-            self._send(sender, place_messages.Queued(message.number))
+            self._send(sender, slot_messages.Queued(message.number))
 
     @_take.register
-    def _(self, message: place_messages.Ended, sender: str, now_s: float) -> None:
+    def _(self, message: slot_messages.Release, sender: str, now_s: float) -> None:
         member = self._find_member(sender, message.incarnation, now_s)
         entry = member.entries.get(message.number)
         if entry is None:
@@ -192,7 +192,7 @@
         if message.hold_s is not None and entry.service and not entry.is_batch:
             self._queue.record_hold(entry.service, message.hold_s)
         if message.start_s is not None and entry.service:
-            self._queue.record_start(entry.service, message.start_s)
+            self._queue.record_first_event(entry.service, message.start_s)
         self._drop(member, entry, now_s)
         self._pump(now_s)
 
@@ -208,7 +208,7 @@
         member.heard_s = now_s
         return member
 
-    def _begin(self, member: _Member, ask: place_messages.Ask, now_s: float) -> None:
+    def _begin(self, member: _Member, ask: slot_messages.Acquire, now_s: float) -> None:
         """Settle a new wish, or keep it waiting."""
         entry = _Entry(
             ask.number,
@@ -221,7 +221,7 @@
         )
         member.entries[ask.number] = entry
         if ask.is_batch:
-            entry.urgency = item_pace.Urgency(ask.urgency)
+            entry.urgency = item_estimates.Urgency(ask.urgency)
             entry.due_s = now_s + ask.objective_left_s
             self._batch[(member.name, ask.number)] = entry
             self._pump(now_s)
@@ -232,27 +232,29 @@
             now_s,
         )
         if entry.waiter is not None:
-            self._send(member.name, place_messages.Queued(ask.number))
+            self._send(member.name, slot_messages.Queued(ask.number))
 
-    def _make_wish(self, ask: place_messages.Ask, now_s: float) -> place_queue.Wish:
-        return place_queue.Wish(
+    def _make_wish(
+        self, ask: slot_messages.Acquire, now_s: float
+    ) -> slot_queue.SlotRequest:
+        return slot_queue.SlotRequest(
             service=ask.service,
             priority=ask.priority,
             objective_s=now_s + ask.objective_left_s,
             deadline_s=now_s + ask.deadline_left_s,
-            may_return=ask.may_return,
+            may_retry=ask.may_return,
             excluded=frozenset(ask.excluded),
-            only=None if ask.only is None else frozenset(ask.only),
+            allowed=None if ask.only is None else frozenset(ask.only),
             avoided=frozenset(ask.avoided) | self._list_shunned(now_s),
             availability_zone=ask.availability_zone,
         )
 
     def _settle(
-        self, member: _Member, entry: _Entry, verdict: place_queue.Verdict
+        self, member: _Member, entry: _Entry, verdict: slot_queue.Verdict
     ) -> None:
         """Tell a daemon what became of its online request."""
         entry.waiter = None
-        if isinstance(verdict, place_queue.Refused):
+        if isinstance(verdict, slot_queue.Refused):
             member.entries.pop(entry.number, None)
             logs.limited_info(
                 "place_refused",
@@ -260,17 +262,17 @@
                 daemon=member.name,
                 retry_after_ms=int(verdict.retry_after_s * 1000),
                 avoided=",".join(sorted(entry.avoided)) or None,
-                **self._queue.explain(entry.service),
+                **self._queue.describe_load(entry.service),
             )
-            answer = place_messages.Refused(entry.number, verdict.retry_after_s)
+            answer = slot_messages.Refused(entry.number, verdict.retry_after_s)
             self._send(member.name, answer)
             return
         self._give(member.name, entry, verdict.target)
 
     def _give(self, name: str, entry: _Entry, target: model.Target) -> None:
         entry.target_id = target.target_id
-        self._board.give(entry.target_id, entry.is_batch)
-        self._send(name, place_messages.Granted(entry.number, entry.target_id))
+        self._board.add_granted(entry.target_id, entry.is_batch)
+        self._send(name, slot_messages.Granted(entry.number, entry.target_id))
 
     def _drop(self, member: _Member, entry: _Entry, now_s: float) -> None:
         """Forget a place or a wish."""
@@ -279,7 +281,7 @@
         if entry.waiter is not None:
             self._queue.withdraw(entry.waiter, now_s)
         if entry.target_id:
-            self._board.take_back(entry.target_id, entry.is_batch)
+            self._board.remove_granted(entry.target_id, entry.is_batch)
 
     def _pump_batch(self, now_s: float) -> None:
         """Give places that online requests leave to batch items, the urgent first."""
@@ -291,7 +293,7 @@
             self._batch.items(), key=lambda item: (item[1].urgency, item[1].due_s)
         )
         for (name, number), entry in ordered:
-            is_urgent = entry.urgency is item_pace.Urgency.URGENT
+            is_urgent = entry.urgency is item_estimates.Urgency.URGENT
             kind = (entry.service, is_urgent)
             if kind in full:
                 continue
@@ -323,20 +325,20 @@
             leaving = [
                 entry for _, entry in held if now_s - entry.told_s < _GIVE_WAY_REPEAT_S
             ]
-            surplus = self._choices.count_to_yield(known.target, len(held))
+            surplus = self._choices.count_to_preempt(known.target, len(held))
             surplus -= len(leaving)
             if surplus <= 0:
                 continue
             self._rested_s[target_id] = now_s
             batch = self._board.total(target_id).batch
             candidates = [
-                giving_way.Candidate((member, entry), entry.urgency, entry.since_s)
+                preemption.Candidate((member, entry), entry.urgency, entry.since_s)
                 for member, entry in held
                 if entry not in leaving
             ]
-            for member, entry in giving_way.choose(candidates, surplus, batch):
+            for member, entry in preemption.choose_items(candidates, surplus, batch):
                 entry.told_s = now_s
-                self._send(member.name, place_messages.GiveWay(entry.number))
+                self._send(member.name, slot_messages.Preempt(entry.number))
 
     def _list_resting(self, now_s: float) -> frozenset[str]:
         """Return the targets that items have left a moment ago."""
--- a/src/endivevane/serving/failures.py
+++ b/src/endivevane/serving/failures.py
@@ -15,7 +15,7 @@
     :param target_id: the target
     :param cause: what happened, in a few words
     :param may_have_run: whether the target may have run the request
-    :param is_bad_answer: whether the target answered, and wrongly; silence and failed
+    :param is_target_fault: whether the target answered, and wrongly; silence and failed
         connections may be due to the path
     """
 
@@ -24,13 +24,13 @@
         target_id: str,
         cause: str,
         may_have_run: bool,
-        is_bad_answer: bool = False,
+        is_target_fault: bool = False,
     ) -> None:
         super().__init__()
         self.target_id = target_id
         self.cause = cause
         self.may_have_run = may_have_run
-        self.is_bad_answer = is_bad_answer
+        self.is_target_fault = is_target_fault
 
     def format_message(self) -> str:
         """Return the target and the cause."""
--- a/src/endivevane/serving/follower.py
+++ b/src/endivevane/serving/follower.py
@@ -42,7 +42,7 @@
         partition: str,
         on_row: store.RowObserver,
         on_return: abc.Callable[[], None] | None = None,
-        pause_s: float = 0.0,
+        coalesce_s: float = 0.0,
         on_loaded: abc.Callable[[], None] | None = None,
         newest: newest_version.NewestVersion | None = None,
     ) -> None:
@@ -54,7 +54,7 @@
         self._partition = partition
         self._on_row = on_row
         self._on_return = on_return
-        self._pause_s = pause_s
+        self._pause_s = coalesce_s
         self._on_loaded = on_loaded
         self.newest = newest or newest_version.NewestVersion()
         self._deleted: dict[str, int] = {}
@@ -122,7 +122,7 @@
         else:
             self._deleted.pop(key, None)
             self.rows[key] = row
-            self.newest.note(row.version)
+            self.newest.record(row.version)
         self._on_row(row)
         return True
 
@@ -159,7 +159,7 @@
 
     def _advance(self, version: int) -> None:
         self.version = version
-        self.newest.note(version)
+        self.newest.record(version)
         self._advanced.set()
 
     def _note_answer(self) -> None:
--- a/src/endivevane/serving/ingress.py
+++ b/src/endivevane/serving/http_server.py
@@ -151,7 +151,7 @@
             answer.abort()
             return
         # What the handler did before it failed is not known.
-        answer.send(responder.WholeAnswer(500))
+        answer.send(responder.Response(500))
 
     async def _flush(self) -> None:
         async with asyncio.timeout(_FLUSH_S):
@@ -211,7 +211,7 @@
         self._stream = stream
         self._server = server
 
-    def send(self, answer: responder.WholeAnswer) -> None:
+    def send(self, answer: responder.Response) -> None:
         """Write a whole answer."""
         headers = [*answer.headers]
         if answer.content_type:
@@ -301,7 +301,7 @@
         return int(self._socket.getsockname()[1])
 
     @property
-    def busy(self) -> int:
+    def active_connections(self) -> int:
         """Number of connections on which a request is read or served."""
         served = sum(1 for item in self._connections if not item.is_idle)
         return served + len(self._adopting)
--- a/src/endivevane/serving/item_pace.py
+++ b/src/endivevane/serving/item_estimates.py
@@ -25,36 +25,36 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ItemPace:
+class ItemEstimator:
     """Means over the items that ended here.
 
-    :ivar event_s: time between two events of a running item
-    :ivar events: events of a whole item
+    :ivar event_interval_s: time between two events of a running item
+    :ivar events_per_item: events of a whole item
     """
 
-    event_s: float = _FIRST_EVENT_S
-    events: float = _FIRST_EVENTS
+    event_interval_s: float = _FIRST_EVENT_S
+    events_per_item: float = _FIRST_EVENTS
     _has_seen: bool = False
 
     def record_run(self, events: int, seconds: float) -> None:
         """Take in a run that brought events."""
         if events <= 1 or seconds <= 0:
             return
-        self.event_s += _WEIGHT * (seconds / events - self.event_s)
+        self.event_interval_s += _WEIGHT * (seconds / events - self.event_interval_s)
 
-    def record_whole(self, events: int) -> None:
+    def record_item(self, events: int) -> None:
         """Take in the number of events of a whole item."""
         weight = _WEIGHT if self._has_seen else 1.0
         self._has_seen = True
-        self.events += weight * (events - self.events)
+        self.events_per_item += weight * (events - self.events_per_item)
 
-    def rate(self, events_so_far: int, left_s: float) -> Urgency:
+    def classify_urgency(self, events_so_far: int, left_s: float) -> Urgency:
         """Return how urgent an item is.
 
         :param left_s: time until it is due
         """
-        missing = max(0.0, self.events - events_so_far)
-        spare_s = left_s - missing * self.event_s - _START_S
+        missing = max(0.0, self.events_per_item - events_so_far)
+        spare_s = left_s - missing * self.event_interval_s - _START_S
         if spare_s < 0:
             return Urgency.LATE
         if spare_s < _URGENT_SPARE_S:
--- a/src/endivevane/serving/item_sender.py
+++ b/src/endivevane/serving/item_sender.py
@@ -7,13 +7,13 @@
 from collections import abc
 
 from endivevane.serving import (
-    directory,
-    event_stream,
     jobs,
     model,
     owned_jobs,
-    target_answers,
-    target_calls,
+    sse,
+    target_client,
+    target_registry,
+    target_responses,
 )
 
 # The target says that the item itself can't be done.
@@ -45,8 +45,8 @@
 
     def __init__(
         self,
-        targets: directory.Directory,
-        caller: target_calls.TargetCaller,
+        targets: target_registry.TargetRegistry,
+        caller: target_client.TargetClient,
         encode_headers: HeaderEncoder,
     ) -> None:
         self._targets = targets
@@ -61,7 +61,7 @@
         :raises failures.TargetCallError: when the answer does not come or breaks off
         """
         known = self._targets.find(target.target_id)
-        if known is None or known.is_leaving:
+        if known is None or known.is_draining:
             return RunEnd.NOT_RUN, 0
         call = model.TargetCall(
             method=b"POST",
@@ -70,12 +70,12 @@
             body=run.item.body,
             attempt_id=run.item.item_id.encode("latin-1"),
             last_event_id=str(run.last_event).encode() if run.last_event else b"",
-            stall_s=_STALL_S,
+            stall_timeout_s=_STALL_S,
         )
         async with self._caller.call(known, call, True) as answer:
-            status = answer.reply.status
-            if answer.reply.is_not_run:
-                self._note_refusal(known, answer.reply)
+            status = answer.head.status
+            if answer.head.is_not_run:
+                self._note_refusal(known, answer.head)
                 return RunEnd.NOT_RUN, status
             if status == _IMPOSSIBLE_STATUS:
                 return RunEnd.IMPOSSIBLE, status
@@ -83,33 +83,33 @@
                 return RunEnd.FAILED, status
             if status != _OK_STATUS:
                 return RunEnd.BROKEN, status
-            target_answers.check_signed(known, answer.reply)
+            target_responses.check_signature(known, answer.head)
             end = await _read_events(known, run, answer)
             if end is RunEnd.WHOLE:
                 known.health.record_success()
             return end, status
 
     def _note_refusal(
-        self, known: directory.KnownTarget, reply: model.TargetReply
+        self, known: target_registry.KnownTarget, reply: model.TargetReply
     ) -> None:
         known.health.record_full(time.monotonic())
-        if reply.is_other_target:
+        if reply.is_wrong_target:
             self._targets.record_replaced(known.target)
 
 
 async def _read_events(
-    known: directory.KnownTarget,
+    known: target_registry.KnownTarget,
     run: owned_jobs.ItemRun,
-    answer: target_calls.Answer,
+    answer: target_client.TargetResponse,
 ) -> RunEnd:
-    splitter = event_stream.EventSplitter()
+    splitter = sse.EventParser()
     size = sum(len(piece) for piece in run.pieces)
     while (data := await answer.read()) is not None:
         size += len(data)
-        for event in target_answers.split_events(known, splitter, data):
-            answer.note_event()
+        for event in target_responses.parse_events(known, splitter, data):
+            answer.record_event()
             if not run.take(event):
                 return RunEnd.BROKEN
         if size > _MOST_TEXT_BYTES:
             return RunEnd.BROKEN
-    return RunEnd.BROKEN if splitter.rest else RunEnd.WHOLE
+    return RunEnd.BROKEN if splitter.remainder else RunEnd.WHOLE
--- a/src/endivevane/serving/job_api.py
+++ b/src/endivevane/serving/job_api.py
@@ -54,16 +54,16 @@
 
     async def submit(
         self, request: model.ClientRequest, route: model.Route
-    ) -> responder.WholeAnswer:
+    ) -> responder.Response:
         """Accept a job; it is answered once the store has it."""
         job_id = request.attempt_id.decode("latin-1")
         try:
             items = self._codec.decode_items(request.body)
         except failures.InvalidJob as error:
             logs.limited_info("job_invalid", job=job_id, cause=error.reason)
-            return responder.WholeAnswer(http.HTTPStatus.BAD_REQUEST)
+            return responder.Response(http.HTTPStatus.BAD_REQUEST)
         if not job_id:
-            return responder.WholeAnswer(http.HTTPStatus.BAD_REQUEST)
+            return responder.Response(http.HTTPStatus.BAD_REQUEST)
         submission = job_changes.Submission(
             job_id, request.host, request.path, route, items, _find_limit(request)
         )
@@ -73,7 +73,7 @@
             return self._refuse(job_id, error)
         except failures.JobUncertain:
             logs.limited_info("job_uncertain", job=job_id)
-            return responder.WholeAnswer(http.HTTPStatus.GATEWAY_TIMEOUT)
+            return responder.Response(http.HTTPStatus.GATEWAY_TIMEOUT)
         if entry is not None and entry.job.owner:
             self._runner.adopt(entry, items)
         logs.info(
@@ -83,11 +83,11 @@
             is_new=entry is not None,
             took_ms=int((time.monotonic() - request.received_s) * 1000),
         )
-        return responder.WholeAnswer(http.HTTPStatus.ACCEPTED)
+        return responder.Response(http.HTTPStatus.ACCEPTED)
 
     async def call(
         self, request: model.ClientRequest, job_call: jobs.JobCall
-    ) -> responder.WholeAnswer:
+    ) -> responder.Response:
         """Answer a read or the end of a job."""
         try:
             match job_call:
@@ -101,52 +101,50 @@
             logs.limited_info(
                 "job_call_unsure", job=job_call.job_id, cause=error.format_message()
             )
-            return responder.WholeAnswer(
+            return responder.Response(
                 http.HTTPStatus.SERVICE_UNAVAILABLE, retry_after_s=_RETRY_AFTER_S
             )
 
     async def _read(
         self, job_call: jobs.ReadResults, wait_s: float
-    ) -> responder.WholeAnswer:
+    ) -> responder.Response:
         found = await self._reader.read(
             job_call.job_id, job_call.position, min(wait_s, _LONGEST_WAIT_S)
         )
         if found is None:
             logs.limited_info("job_unknown", job=job_call.job_id)
-            return responder.WholeAnswer(http.HTTPStatus.NOT_FOUND)
+            return responder.Response(http.HTTPStatus.NOT_FOUND)
         total, results = found
         body = self._codec.encode_results(total, job_call.position, results)
-        return responder.WholeAnswer(
+        return responder.Response(
             http.HTTPStatus.OK, body, content_type="application/json"
         )
 
-    async def _read_item(self, job_call: jobs.ReadItem) -> responder.WholeAnswer:
+    async def _read_item(self, job_call: jobs.ReadItem) -> responder.Response:
         body = await self._reader.read_body(job_call.job_id, job_call.item_id)
         if body is None:
             logs.limited_info("item_unknown", job=job_call.job_id)
-            return responder.WholeAnswer(http.HTTPStatus.NOT_FOUND)
-        return responder.WholeAnswer(
+            return responder.Response(http.HTTPStatus.NOT_FOUND)
+        return responder.Response(
             http.HTTPStatus.OK, body, content_type="application/octet-stream"
         )
 
-    async def _end(
-        self, job_call: jobs.EndJob, until_s: float
-    ) -> responder.WholeAnswer:
+    async def _end(self, job_call: jobs.EndJob, until_s: float) -> responder.Response:
         entry = await self._reader.find(job_call.job_id)
         if entry is None:
-            return responder.WholeAnswer(http.HTTPStatus.NOT_FOUND)
+            return responder.Response(http.HTTPStatus.NOT_FOUND)
         is_ended = await self._changes.end(job_call.job_id, until_s)
         logs.info("job_end_asked", job=job_call.job_id, is_ended=is_ended)
         if is_ended:
-            return responder.WholeAnswer(http.HTTPStatus.OK)
-        return responder.WholeAnswer(http.HTTPStatus.GATEWAY_TIMEOUT)
+            return responder.Response(http.HTTPStatus.OK)
+        return responder.Response(http.HTTPStatus.GATEWAY_TIMEOUT)
 
-    def _refuse(self, job_id: str, error: failures.JobRefused) -> responder.WholeAnswer:
+    def _refuse(self, job_id: str, error: failures.JobRefused) -> responder.Response:
         logs.info("job_refused", job=job_id, cause=error.reason)
         status = http.HTTPStatus.SERVICE_UNAVAILABLE
         if error.is_over_quota:
             status = http.HTTPStatus.TOO_MANY_REQUESTS
-        return responder.WholeAnswer(status, retry_after_s=_RETRY_AFTER_S)
+        return responder.Response(status, retry_after_s=_RETRY_AFTER_S)
 
 
 def _find_limit(request: model.ClientRequest) -> float:
--- a/src/endivevane/serving/job_changes.py
+++ b/src/endivevane/serving/job_changes.py
@@ -9,7 +9,7 @@
 from collections import abc
 
 from endivevane import logs
-from endivevane.serving import failures, follower, job_book, jobs, model, store
+from endivevane.serving import failures, follower, job_registry, jobs, model, store
 
 _RETRY_S = 0.08
 # A job that was taken or refused is answered this long before its time limit.
@@ -44,7 +44,7 @@
         self,
         rows: store.Store,
         state: follower.TableFollower,
-        book: job_book.JobBook,
+        book: job_registry.JobRegistry,
         owner: str,
     ) -> None:
         self._store = rows
@@ -56,7 +56,7 @@
         """Leave jobs that are accepted from now on to other daemons."""
         self._owner = ""
 
-    async def accept(self, submission: Submission) -> job_book.BookEntry | None:
+    async def accept(self, submission: Submission) -> job_registry.BookEntry | None:
         """Store a job; return its entry when this call has created it.
 
         :returns: ``None`` when the job was there already
@@ -113,11 +113,11 @@
 
     async def replace(
         self,
-        entry: job_book.BookEntry,
+        entry: job_registry.BookEntry,
         job: jobs.Job,
         until_s: float,
         puts: abc.Sequence[tuple[store.RowKey, bytes]] = (),
-    ) -> job_book.BookEntry | None:
+    ) -> job_registry.BookEntry | None:
         """Write a job's next version if the row has not changed meanwhile.
 
         :param job: its ``operation`` must be new
@@ -194,7 +194,7 @@
                 logs.error("progress_unreadable", job=job_id, cause=error)
         return progress
 
-    async def refresh(self, job_id: str) -> job_book.BookEntry | None:
+    async def refresh(self, job_id: str) -> job_registry.BookEntry | None:
         """Read the row of a job; return its entry, ``None`` if there is no such job.
 
         :raises failures.StoreFailure: when that can't be known
@@ -278,7 +278,7 @@
             raise failures.JobUncertain(job.job_id)
         raise failures.JobRefused("quota", is_over_quota=True)
 
-    def _take(self, job: jobs.Job, version: int) -> job_book.BookEntry:
+    def _take(self, job: jobs.Job, version: int) -> job_registry.BookEntry:
         """Take in a row that this daemon wrote."""
         row_key = jobs.make_job_key(job.job_id)
         self._state.take(store.Row(row_key, jobs.encode_job(job), version))
@@ -286,7 +286,7 @@
 
     def _take_existing(
         self, job: jobs.Job, row: store.Row
-    ) -> job_book.BookEntry | None:
+    ) -> job_registry.BookEntry | None:
         """Take in the row of a job that was there; return it if this call wrote it."""
         self._state.take(row)
         entry = self._book.entries.get(job.job_id)
--- a/src/endivevane/serving/job_reader.py
+++ b/src/endivevane/serving/job_reader.py
@@ -7,7 +7,7 @@
 import time
 from collections import abc
 
-from endivevane.serving import failures, job_book, job_changes, jobs
+from endivevane.serving import failures, job_changes, job_registry, jobs
 
 # One answer holds results up to this size of their texts.
 _ANSWER_BYTES = 800_000
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        book: job_book.JobBook,
+        book: job_registry.JobRegistry,
         changes: job_changes.JobChanges,
         find_spread_s: abc.Callable[[], float],
     ) -> None:
@@ -38,7 +38,7 @@
         self._payloads = collections.OrderedDict()
         self._locks: dict[str, asyncio.Lock] = {}
 
-    async def find(self, job_id: str) -> job_book.BookEntry | None:
+    async def find(self, job_id: str) -> job_registry.BookEntry | None:
         """Return a job, ``None`` when the store knows of none.
 
         :raises failures.StoreFailure: when that can't be known
--- a/src/endivevane/serving/job_book.py
+++ b/src/endivevane/serving/job_registry.py
@@ -24,7 +24,7 @@
     changed_s: float
 
 
-class JobBook:
+class JobRegistry:
     """Indexes jobs by id and wakes those who wait for news of one."""
 
     def __init__(self) -> None:
--- a/src/endivevane/serving/job_runner.py
+++ b/src/endivevane/serving/job_runner.py
@@ -12,25 +12,25 @@
 
 from endivevane import logs, metrics
 from endivevane.serving import (
-    batch_places,
-    directory,
+    batch_slots,
     failures,
-    giving_way,
-    item_pace,
+    item_estimates,
     item_sender,
-    job_book,
     job_changes,
     job_reader,
+    job_registry,
     jobs,
-    load_board,
+    load_table,
     model,
     owned_jobs,
-    placement,
-    places,
+    preemption,
     result_commits,
     routing_table,
+    slot_registry,
     store,
-    target_calls,
+    target_client,
+    target_registry,
+    target_selection,
 )
 
 # Least time between two rounds where places come one by one.
@@ -48,15 +48,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RunnerParts:
+class RunnerDependencies:
     """What the runner works with."""
 
-    targets: directory.Directory
-    board: load_board.LoadBoard
-    choices: placement.Placement
-    places: batch_places.BatchPlaces
-    caller: target_calls.TargetCaller
-    rows: store.Store
+    targets: target_registry.TargetRegistry
+    load_table: load_table.LoadTable
+    choices: target_selection.TargetSelector
+    slots: batch_slots.BatchSlots
+    caller: target_client.TargetClient
+    row_store: store.Store
     changes: job_changes.JobChanges
     reader: job_reader.JobReader
     routes: Routes
@@ -68,17 +68,17 @@
 class JobRunner:
     """Runs items where there is room and gives way to online requests."""
 
-    def __init__(self, parts: RunnerParts) -> None:
+    def __init__(self, parts: RunnerDependencies) -> None:
         self._parts = parts
         self._owned: dict[str, owned_jobs.OwnedJob] = {}
         self._wake = asyncio.Event()
         self._is_stopping = False
-        self._pace = item_pace.ItemPace()
+        self._pace = item_estimates.ItemEstimator()
         self._sender = item_sender.ItemSender(
             parts.targets, parts.caller, parts.encode_headers
         )
         self._commits = result_commits.ResultCommitter(
-            parts.rows, parts.changes, parts.reader, parts.owner, self._release
+            parts.row_store, parts.changes, parts.reader, parts.owner, self._release
         )
 
     @property
@@ -88,7 +88,7 @@
 
     def adopt(
         self,
-        entry: job_book.BookEntry,
+        entry: job_registry.BookEntry,
         items: tuple[jobs.Item, ...],
         taken: jobs.Taken | None = None,
     ) -> None:
@@ -102,7 +102,7 @@
         self._owned[entry.job.job_id] = owned
         self.wake()
 
-    def give_way_at(self, number: int) -> None:
+    def preempt_slot(self, number: int) -> None:
         """Cancel the item of a place, as the coordinator asks."""
         for owned in self._owned.values():
             for run in owned.list_running():
@@ -116,7 +116,7 @@
         """Look for work that can start."""
         self._wake.set()
 
-    def take_change(self, entry: job_book.BookEntry) -> None:
+    def apply_change(self, entry: job_registry.BookEntry) -> None:
         """Take in a new version of a job, which may end it or move it elsewhere."""
         owned = self._owned.get(entry.job.job_id)
         if owned is None or entry.version <= owned.entry.version:
@@ -131,14 +131,14 @@
         """Start items and make them give way until cancelled."""
         while True:
             if not self._owned:
-                self._parts.board.own_waiting_items = 0
-                self._parts.places.begin_round({})
+                self._parts.load_table.own_waiting_items = 0
+                self._parts.slots.begin_round({})
                 self._wake.clear()
                 await self._wake.wait()
             now_s = time.monotonic()
             self._give_way()
             if self._is_stopping:
-                self._parts.places.begin_round({})
+                self._parts.slots.begin_round({})
             else:
                 self._start_items()
                 self._commits.store_progress_soon(self._owned.values(), now_s)
@@ -147,8 +147,8 @@
 
     async def _pause(self) -> None:
         """Wait for the next round."""
-        round_s = self._parts.places.round_s
-        if not self._parts.places.is_coordinated:
+        round_s = self._parts.slots.round_interval_s
+        if not self._parts.slots.is_coordinated:
             # What the others see of the last changes is as old as their reports.
             await asyncio.sleep(round_s)
             return
@@ -161,7 +161,7 @@
             # Nothing has come: asks are repeated and progress is stored.
             return
 
-    async def hand_back(self) -> None:
+    async def release_jobs(self) -> None:
         """Stop all items and leave the jobs, with their progress, to other daemons."""
         self._is_stopping = True
         for owned in self._owned.values():
@@ -200,8 +200,8 @@
             service = routing_table.choose_service(route, self._parts.generator)
             waiting[service] += 1
             wishes.append((urgency, owned, run, route, service))
-        self._parts.board.own_waiting_items = waiting.total()
-        places_now = self._parts.places.begin_round(waiting)
+        self._parts.load_table.own_waiting_items = waiting.total()
+        places_now = self._parts.slots.begin_round(waiting)
         for urgency, owned, run, route, service in wishes:
             place = places_now.find(service, urgency, _find_left_s(owned))
             if place is not None:
@@ -220,7 +220,7 @@
 
     def _list_ready(
         self, now_s: float
-    ) -> list[tuple[item_pace.Urgency, owned_jobs.OwnedJob, owned_jobs.ItemRun]]:
+    ) -> list[tuple[item_estimates.Urgency, owned_jobs.OwnedJob, owned_jobs.ItemRun]]:
         """Return the items that may start, in the order in which they should."""
         ready = []
         for owned in self._owned.values():
@@ -238,13 +238,13 @@
 
     def _rate(
         self, owned: owned_jobs.OwnedJob, run: owned_jobs.ItemRun
-    ) -> item_pace.Urgency:
-        return self._pace.rate(run.last_event, _find_left_s(owned))
+    ) -> item_estimates.Urgency:
+        return self._pace.classify_urgency(run.last_event, _find_left_s(owned))
 
     def _count_waiting(self) -> None:
         """Tell the others how many items could start."""
         now_s = time.monotonic()
-        self._parts.board.own_waiting_items = sum(
+        self._parts.load_table.own_waiting_items = sum(
             len(owned.list_ready(now_s)) for owned in self._owned.values()
         )
 
@@ -253,7 +253,7 @@
         owned: owned_jobs.OwnedJob,
         run: owned_jobs.ItemRun,
         route: model.Route,
-        place: places.Place,
+        place: slot_registry.Slot,
     ) -> None:
         run.place = place
         run.started_s = time.monotonic()
@@ -261,12 +261,12 @@
 
     def _give_way(self) -> None:
         """Cancel items on targets that online requests fill."""
-        if self._parts.places.is_coordinated:
+        if self._parts.slots.is_coordinated:
             return
-        by_target: dict[str, list[giving_way.Candidate[owned_jobs.ItemRun]]] = {}
+        by_target: dict[str, list[preemption.Candidate[owned_jobs.ItemRun]]] = {}
         for owned in self._owned.values():
             for run in owned.list_running():
-                candidate = giving_way.Candidate(
+                candidate = preemption.Candidate(
                     run, self._rate(owned, run), run.started_s
                 )
                 target_id = run.place.target.target_id if run.place else ""
@@ -275,12 +275,12 @@
             known = self._parts.targets.find(target_id)
             if known is None:
                 continue
-            surplus = self._parts.choices.count_to_yield(known.target)
+            surplus = self._parts.choices.count_to_preempt(known.target)
             if surplus <= 0:
                 continue
-            self._parts.places.note_yielded(target_id)
-            batch = self._parts.board.total(target_id).batch
-            for run in giving_way.choose(running, surplus, batch):
+            self._parts.slots.record_preemption(target_id)
+            batch = self._parts.load_table.total(target_id).batch
+            for run in preemption.choose_items(running, surplus, batch):
                 if run.task is not None:
                     run.task.cancel()
 
@@ -289,7 +289,7 @@
         owned: owned_jobs.OwnedJob,
         run: owned_jobs.ItemRun,
         route: model.Route,
-        place: places.Place,
+        place: slot_registry.Slot,
     ) -> None:
         target = place.target
         end = item_sender.RunEnd.YIELDED
@@ -304,7 +304,7 @@
             self._pace.record_run(run.last_event - started_at, run_s)
             run.task = None
             run.place = None
-            self._parts.places.release(place, run_s)
+            self._parts.slots.release(place, run_s)
             self._settle(owned, run, route, end, run.last_event > started_at)
             metrics.BATCH_ITEMS.labels(end.value).inc()
             logs.limited_info(
@@ -326,10 +326,10 @@
         error: failures.TargetCallError,
     ) -> item_sender.RunEnd:
         """Log a call without a whole answer and return how the run ended."""
-        if error.is_bad_answer:
+        if error.is_target_fault:
             # Answers of failure may be due to the item, broken ones are not.
             now_s = time.monotonic()
-            self._parts.board.outcomes.record(error.target_id, now_s, 1.0)
+            self._parts.load_table.outcomes.record(error.target_id, now_s, 1.0)
         logs.limited_info(
             "item_run_failed",
             job=owned.job_id,
@@ -354,7 +354,7 @@
         if run.item.item_id not in owned.runs:
             return
         if end is item_sender.RunEnd.WHOLE:
-            self._pace.record_whole(run.last_event)
+            self._pace.record_item(run.last_event)
             text = b"\n".join(run.pieces).decode("utf-8", errors="replace")
             self._finish(owned, run, is_completed=True, text=text)
             return
--- a/src/endivevane/serving/job_sweeper.py
+++ b/src/endivevane/serving/job_sweeper.py
@@ -7,7 +7,7 @@
 
 from endivevane import logs
 from endivevane.coordination import rendezvous
-from endivevane.serving import failures, job_book, jobs, roster, store
+from endivevane.serving import failures, job_registry, jobs, peer_registry, store
 
 _LOOK_S = 5.0
 # Clocks of VMs differ and clients may read a little longer than they need.
@@ -21,8 +21,8 @@
     def __init__(
         self,
         rows: store.Store,
-        book: job_book.JobBook,
-        members: roster.Roster,
+        book: job_registry.JobRegistry,
+        members: peer_registry.PeerRegistry,
         name: str,
         job_life_s: float,
     ) -> None:
@@ -48,10 +48,10 @@
                     logs.limited_info("job_not_deleted", job=job.job_id, cause=error)
 
     def _is_ours(self, job_id: str) -> bool:
-        members = dict.fromkeys(self._roster.list_staying(), 1.0)
+        members = dict.fromkeys(self._roster.list_active(), 1.0)
         return rendezvous.choose_member(job_id, members) == self._name
 
-    async def _delete(self, entry: job_book.BookEntry) -> None:
+    async def _delete(self, entry: job_registry.BookEntry) -> None:
         """Delete the payload and the results first, so that the job names them."""
         job_id = entry.job.job_id
         keys: list[store.RowKey] = []
--- a/src/endivevane/serving/job_claims.py
+++ b/src/endivevane/serving/job_takeover.py
@@ -12,11 +12,11 @@
 from endivevane.serving import (
     failures,
     follower,
-    job_book,
     job_changes,
+    job_registry,
     job_runner,
     jobs,
-    roster,
+    peer_registry,
 )
 
 _TICK_S = 0.25
@@ -31,7 +31,7 @@
 _CONFIRMED_S = 4.0
 
 
-class JobClaims:
+class JobTakeover:
     """Gives each job without a living owner to one daemon.
 
     The rank of the daemons for a job names one of them, so that few claims collide;
@@ -40,10 +40,10 @@
 
     def __init__(
         self,
-        identity: roster.Identity,
-        members: roster.Roster,
+        identity: peer_registry.Identity,
+        members: peer_registry.PeerRegistry,
         state: follower.TableFollower,
-        book: job_book.JobBook,
+        book: job_registry.JobRegistry,
         changes: job_changes.JobChanges,
         runner: job_runner.JobRunner,
     ) -> None:
@@ -56,7 +56,7 @@
         self._settled_s = time.monotonic() + _SETTLE_S
         self._loading: dict[str, asyncio.Task[None]] = {}
 
-    def note_standstill(self) -> None:
+    def record_process_pause(self) -> None:
         """Hear of the others anew before the next claim."""
         self._settled_s = time.monotonic() + _SETTLE_S
 
@@ -69,7 +69,7 @@
                 continue
             if not self._state.is_confirmed(now_s, _CONFIRMED_S):
                 continue
-            if not self._roster.is_informed(now_s):
+            if not self._roster.is_membership_current(now_s):
                 continue
             for job_id, entry in list(self._book.entries.items()):
                 if job_id in self._loading or job_id in self._runner.owned:
@@ -81,7 +81,7 @@
     def _has_open(self) -> bool:
         return any(entry.job.is_open for entry in self._book.entries.values())
 
-    def _is_ours(self, entry: job_book.BookEntry, now_s: float) -> bool:
+    def _is_ours(self, entry: job_registry.BookEntry, now_s: float) -> bool:
         """Whether this daemon should run a job."""
         job = entry.job
         if job.owner == self._identity.owner:
@@ -91,10 +91,10 @@
             return False
         if name and now_s - entry.changed_s < _CLAIM_LIFE_S:
             return False
-        members = dict.fromkeys(self._roster.list_staying(), 1.0)
+        members = dict.fromkeys(self._roster.list_active(), 1.0)
         return rendezvous.choose_member(job.job_id, members) == self._identity.name
 
-    async def _take_over(self, entry: job_book.BookEntry) -> None:
+    async def _take_over(self, entry: job_registry.BookEntry) -> None:
         job_id = entry.job.job_id
         try:
             if entry.job.owner != self._identity.owner:
@@ -126,7 +126,9 @@
         )
         self._runner.adopt(latest, items, jobs.Taken(done, progress))
 
-    async def _claim(self, entry: job_book.BookEntry) -> job_book.BookEntry | None:
+    async def _claim(
+        self, entry: job_registry.BookEntry
+    ) -> job_registry.BookEntry | None:
         """Become the owner of a job; ``None`` when another daemon was faster."""
         claim = dataclasses.replace(
             entry.job,
--- a/src/endivevane/serving/load_board.py
+++ b/src/endivevane/serving/load_table.py
@@ -6,7 +6,7 @@
 import dataclasses
 from collections import abc
 
-from endivevane.serving import outcome_board
+from endivevane.serving import outcome_table
 
 # A peer that has not reported for this long is left out of the totals.
 _REPORT_LIFE_S = 1.5
@@ -38,28 +38,28 @@
     :param waiting_requests: online requests that wait for a place and can be on time,
         by service
     :param outcomes: answers of targets with failures
-    :param is_of_region: whether it speaks for all daemons of its region
+    :param covers_region: whether it speaks for all daemons of its region
     """
 
     loads: abc.Mapping[str, Load]
     received_s: float
     waiting_items: int = 0
     waiting_requests: abc.Mapping[str, int] = dataclasses.field(default_factory=dict)
-    outcomes: abc.Mapping[str, outcome_board.Outcomes] = dataclasses.field(
+    outcomes: abc.Mapping[str, outcome_table.Outcomes] = dataclasses.field(
         default_factory=dict
     )
-    is_of_region: bool = False
+    covers_region: bool = False
 
 
-class LoadBoard:
+class LoadTable:
     """Counts the requests of this daemon and of its peers, by target.
 
     :ivar version: changes with each change of this daemon's own counts
     :ivar own_waiting_items: batch items of this daemon that could start now
     :ivar own_waiting_requests: the same of the online requests that wait here
     :ivar outcomes: what became of the requests
-    :ivar near_age_s: age of what is known of the loads by daemons of this region
-    :ivar far_age_s: the same of the other regions
+    :ivar same_region_age_s: age of what is known of the loads by daemons of this region
+    :ivar cross_region_age_s: the same of the other regions
     """
 
     def __init__(self) -> None:
@@ -69,9 +69,9 @@
         self.own_waiting_requests: collections.Counter[str] = collections.Counter()
         self._peers_waiting_items = 0
         self._peers_waiting_requests: collections.Counter[str] = collections.Counter()
-        self.near_age_s = 0.0
-        self.far_age_s = 0.0
-        self.outcomes = outcome_board.OutcomeBoard()
+        self.same_region_age_s = 0.0
+        self.cross_region_age_s = 0.0
+        self.outcomes = outcome_table.OutcomeTable()
         self._reports: dict[str, LoadReport] = {}
         self._peers: dict[str, Load] = {}
         # Places that this daemon has given to others of its region.
@@ -87,15 +87,15 @@
         _remove_one(self.own, target_id, is_batch)
         self.version += 1
 
-    def give(self, target_id: str, is_batch: bool) -> None:
+    def add_granted(self, target_id: str, is_batch: bool) -> None:
         """Count a request of another daemon that has its place from this one."""
         _add_one(self._given, target_id, is_batch)
 
-    def take_back(self, target_id: str, is_batch: bool) -> None:
+    def remove_granted(self, target_id: str, is_batch: bool) -> None:
         """Stop counting a request of another daemon."""
         _remove_one(self._given, target_id, is_batch)
 
-    def find_given(self, target_id: str) -> Load:
+    def find_granted(self, target_id: str) -> Load:
         """Return the requests of other daemons that have their places from this one."""
         return self._given.get(target_id) or Load()
 
@@ -106,9 +106,9 @@
             self._add(former, -1)
         self._reports[peer] = report
         self._add(report, 1)
-        self.outcomes.set_report(peer, report.outcomes, report.is_of_region)
+        self.outcomes.set_report(peer, report.outcomes, report.covers_region)
 
-    def drop_silent(self, now_s: float) -> None:
+    def drop_stale_reports(self, now_s: float) -> None:
         """Leave out the peers that have not reported for long."""
         silent = [
             peer
