--- a/src/endivevane/serving/model.py
+++ b/src/endivevane/serving/model.py
@@ -41,7 +41,7 @@
     :param event_gap_s: longest pause between events of an answer that is on time
     :param completion_s: time after submission at which a batch job is due
     :param retention_s: time after submission at which an item may be given up
-    :param patience_s: silence after which clients give up a stream
+    :param stream_idle_timeout_s: silence after which clients give up a stream
     :param token_quota: tokens of a batch route that may wait, 0 for no limit
     """
 
@@ -58,7 +58,7 @@
     event_gap_s: float = 0.0
     completion_s: float = 0.0
     retention_s: float = 0.0
-    patience_s: float = float("inf")
+    stream_idle_timeout_s: float = float("inf")
     token_quota: int = 0
 
     @property
@@ -107,7 +107,7 @@
     """An incarnation of a target as it registered itself.
 
     :param target_id: names this incarnation only
-    :param is_leaving: whether it asked for no more work
+    :param is_draining: whether it asked for no more work
     :param started_ms: Unix time of its start, 0 if it did not say
     """
 
@@ -117,7 +117,7 @@
     port: int
     availability_zone: str
     slots: int
-    is_leaving: bool
+    is_draining: bool
     started_ms: int = 0
 
 
@@ -133,7 +133,7 @@
     :param attempt_id: names the client's attempt, empty if it gave no name
     :param time_left_s: how long the target may take, ``None`` for no limit
     :param last_event_id: event after which a stream goes on, empty for its start
-    :param stall_s: time without a whole event after which a call that may go on
+    :param stall_timeout_s: time without a whole event after which a call that may go on
         elsewhere is broken off, also while single bytes come
     """
 
@@ -144,7 +144,7 @@
     attempt_id: bytes
     time_left_s: float | None = None
     last_event_id: bytes = b""
-    stall_s: float = float("inf")
+    stall_timeout_s: float = float("inf")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -153,22 +153,22 @@
 
     :param headers: headers to pass on, without those of the connection
     :param is_not_run: whether the target states that it did not run the request
-    :param is_other_target: whether another incarnation has the address
+    :param is_wrong_target: whether another incarnation has the address
     :param attempt_id: name of the attempt that is answered, empty if there is none
     :param is_signed: whether the answer carries the target's signature
     :param idle_timeout_s: how long the connection may stay idle, ``None`` if unsaid
-    :param is_leaving: whether the target says that it leaves
+    :param is_draining: whether the target says that it leaves
     """
 
     status: int
     reason: bytes
     headers: Headers
     is_not_run: bool
-    is_other_target: bool
+    is_wrong_target: bool
     attempt_id: bytes
     is_signed: bool
     idle_timeout_s: float | None
-    is_leaving: bool = False
+    is_draining: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/endivevane/serving/newest_version.py
+++ b/src/endivevane/serving/newest_version.py
@@ -15,6 +15,6 @@
     def __init__(self) -> None:
         self.value = -1
 
-    def note(self, version: int) -> None:
+    def record(self, version: int) -> None:
         """Take in a version that this daemon or a peer has seen."""
         self.value = max(self.value, version)
--- a/src/endivevane/serving/exchange.py
+++ b/src/endivevane/serving/online_service.py
@@ -11,19 +11,19 @@
 from endivevane.serving import (
     admission,
     attempts,
-    directory,
-    event_stream,
     failures,
-    load_board,
+    load_table,
     model,
     outcome_recorder,
-    place_queue,
-    places,
     request_log,
     responder,
     routing_table,
-    target_answers,
-    target_calls,
+    slot_queue,
+    slot_registry,
+    sse,
+    target_client,
+    target_registry,
+    target_responses,
 )
 
 # Answers of routes that do not stream are passed on whole up to this size.
@@ -42,10 +42,10 @@
 
     def __init__(
         self,
-        targets: directory.Directory,
-        board: load_board.LoadBoard,
+        targets: target_registry.TargetRegistry,
+        board: load_table.LoadTable,
         admitted: admission.Admission,
-        caller: target_calls.TargetCaller,
+        caller: target_client.TargetClient,
         generator: random.Random,
     ) -> None:
         self._targets = targets
@@ -90,7 +90,7 @@
     ) -> attempts.Outcome:
         while True:
             place = await self._places.acquire(self._make_wish(progress))
-            if isinstance(place, place_queue.Refused):
+            if isinstance(place, slot_queue.Refused):
                 return self._refuse(progress, answer, place)
             is_final = await self._attempt(place, request, progress, answer)
             if is_final is not None:
@@ -99,7 +99,7 @@
                 return self._give_up(progress, answer)
             metrics.RETRIES.labels(progress.causes[-1][:20]).inc()
 
-    def _make_wish(self, progress: attempts.Progress) -> place_queue.Wish:
+    def _make_wish(self, progress: attempts.Progress) -> slot_queue.SlotRequest:
         usable = {
             known.target.target_id
             for known in self._targets.list_usable(progress.service)
@@ -112,20 +112,20 @@
         only = progress.list_allowed()
         if only is not None:
             excluded = set()
-        return place_queue.Wish(
+        return slot_queue.SlotRequest(
             service=progress.service,
             priority=progress.route.priority,
             objective_s=progress.objective_s,
             deadline_s=min(progress.deadline_s, progress.patience_until_s),
-            may_return=progress.may_return and not progress.sends,
+            may_retry=progress.may_return and not progress.sends,
             excluded=frozenset(excluded),
-            only=only,
+            allowed=only,
             request=progress.request_id,
         )
 
     async def _attempt(
         self,
-        place: places.Place,
+        place: slot_registry.Slot,
         request: model.ClientRequest,
         progress: attempts.Progress,
         answer: responder.Responder,
@@ -134,11 +134,11 @@
         target = place.target
         started_s = time.monotonic()
         had_event = progress.first_event_s is not None
-        progress.placed_s = started_s
+        progress.slot_granted_s = started_s
         progress.coordinator = place.coordinator
         try:
             known = self._targets.find(target.target_id)
-            if known is None or known.is_leaving:
+            if known is None or known.is_draining:
                 progress.causes.append("target left")
                 progress.refused_by.add(target.target_id)
                 return None
@@ -158,7 +158,7 @@
 
     async def _call(
         self,
-        known: directory.KnownTarget,
+        known: target_registry.KnownTarget,
         request: model.ClientRequest,
         progress: attempts.Progress,
         answer: responder.Responder,
@@ -172,71 +172,71 @@
             attempt_id=request.attempt_id,
             time_left_s=progress.deadline_s - time.monotonic(),
             last_event_id=progress.last_event_id,
-            stall_s=_STALL_SHARE * route.patience_s,
+            stall_timeout_s=_STALL_SHARE * route.stream_idle_timeout_s,
         )
         async with self._caller.call(known, call, route.is_idempotent) as reply:
-            head = reply.reply
+            head = reply.head
             if head.is_not_run:
-                await target_answers.drain_refusal(reply)
+                await target_responses.drain_refusal(reply)
                 self._note_refusal(known, progress, head)
                 return None
             progress.ran_on.add(known.target.target_id)
-            target_answers.check_signed(known, head)
+            target_responses.check_signature(known, head)
             if route.kind is model.RouteKind.STREAMING and head.status == 200:
                 return await self._relay_events(known, reply, progress, answer)
             if answer.is_begun:
                 # A stream was to go on here; another answer can't be joined to it.
-                raise target_answers.make_bad_answer(known, f"status {head.status}")
+                raise target_responses.make_bad_answer(known, f"status {head.status}")
             return await self._relay_whole(known, reply, progress, answer)
 
     async def _relay_events(
         self,
-        known: directory.KnownTarget,
-        reply: target_calls.Answer,
+        known: target_registry.KnownTarget,
+        reply: target_client.TargetResponse,
         progress: attempts.Progress,
         answer: responder.Responder,
     ) -> attempts.Outcome:
         """Pass on whole events, so that a broken stream can go on elsewhere."""
-        splitter = event_stream.EventSplitter()
+        splitter = sse.EventParser()
         while True:
             data = await reply.read()
             if data is None:
                 break
-            events = target_answers.split_events(known, splitter, data)
+            events = target_responses.parse_events(known, splitter, data)
             if not events:
                 continue
-            reply.note_event()
+            reply.record_event()
             now_s = time.monotonic()
-            progress.patience_until_s = now_s + progress.route.patience_s
+            progress.patience_until_s = now_s + progress.route.stream_idle_timeout_s
             if progress.first_event_s is None:
                 progress.first_event_s = now_s
                 self._outcomes.record_first_event(known.target, progress, now_s)
             if not answer.is_begun:
-                answer.begin(reply.reply)
+                answer.begin(reply.head)
             progress.delivered += len(events)
             progress.fruitless = 0
             for event in events:
                 progress.last_event_id = event.event_id or progress.last_event_id
             await answer.write(b"".join(event.raw for event in events))
-        if splitter.rest:
-            raise target_answers.make_bad_answer(
+        if splitter.remainder:
+            raise target_responses.make_bad_answer(
                 known, "stream ends in the middle of an event"
             )
         if not answer.is_begun:
-            answer.begin(reply.reply)
+            answer.begin(reply.head)
         known.health.record_success()
         answer.finish()
         return attempts.Outcome.SERVED
 
     async def _relay_whole(
         self,
-        known: directory.KnownTarget,
-        reply: target_calls.Answer,
+        known: target_registry.KnownTarget,
+        reply: target_client.TargetResponse,
         progress: attempts.Progress,
         answer: responder.Responder,
     ) -> attempts.Outcome | None:
         """Pass on an answer once it is whole."""
-        head = reply.reply
+        head = reply.head
         chunks: list[bytes] = []
         size = 0
         while (data := await reply.read()) is not None:
@@ -262,9 +262,9 @@
             known.health.record_success()
         if head.status in _PROMISES:
             # The target may have run the request, so its status promises too much.
-            answer.send(responder.WholeAnswer(502))
+            answer.send(responder.Response(502))
             return attempts.Outcome.FAILED
-        whole = responder.WholeAnswer(
+        whole = responder.Response(
             head.status, b"".join(chunks), head.headers, head.reason
         )
         answer.send(whole)
@@ -272,14 +272,14 @@
 
     def _note_refusal(
         self,
-        known: directory.KnownTarget,
+        known: target_registry.KnownTarget,
         progress: attempts.Progress,
         head: model.TargetReply,
     ) -> None:
         progress.causes.append(f"not run, status {head.status}")
         progress.fruitless -= 1
         progress.refused_by.add(known.target.target_id)
-        if head.is_other_target:
+        if head.is_wrong_target:
             self._targets.record_replaced(known.target)
             return
         known.health.record_full(time.monotonic())
@@ -325,7 +325,7 @@
         self,
         progress: attempts.Progress,
         answer: responder.Responder,
-        refused: place_queue.Refused,
+        refused: slot_queue.Refused,
     ) -> attempts.Outcome:
         """End a request that finds no target."""
         if progress.may_have_run or answer.is_begun:
@@ -338,9 +338,9 @@
             coordinator=refused.coordinator or None,
             retry_after_ms=int(retry_after_s * 1000),
             left_ms=int((progress.deadline_s - time.monotonic()) * 1000),
-            **self._places.queue.explain(progress.service),
+            **self._places.queue.describe_load(progress.service),
         )
-        answer.send(responder.WholeAnswer(503, retry_after_s=retry_after_s))
+        answer.send(responder.Response(503, retry_after_s=retry_after_s))
         return attempts.Outcome.REFUSED
 
     def _give_up(
@@ -352,7 +352,7 @@
             return attempts.Outcome.BROKEN
         if not progress.may_have_run:
             wait_s = self._places.queue.retry_after_s(progress.service)
-            return self._refuse(progress, answer, place_queue.Refused(wait_s))
+            return self._refuse(progress, answer, slot_queue.Refused(wait_s))
         _end_uncertain(answer, http.HTTPStatus.BAD_GATEWAY, "target_failed")
         return attempts.Outcome.FAILED
 
@@ -371,7 +371,7 @@
 ) -> None:
     """Answer that a request may have run, with a status that promises nothing."""
     metrics.REFUSALS.labels(cause, "may-have-run").inc()
-    answer.send(responder.WholeAnswer(status))
+    answer.send(responder.Response(status))
 
 
 def _loop_time(monotonic_s: float) -> float:
--- a/src/endivevane/serving/outcome_recorder.py
+++ b/src/endivevane/serving/outcome_recorder.py
@@ -9,8 +9,8 @@
     attempts,
     failures,
     model,
-    outcome_board,
-    place_queue,
+    outcome_table,
+    slot_queue,
 )
 
 # A first event that takes this share of the objective, and this many times the usual
@@ -25,7 +25,7 @@
     """Tells the outcome board what became of online requests."""
 
     def __init__(
-        self, board: outcome_board.OutcomeBoard, queue: place_queue.PlaceQueue
+        self, board: outcome_table.OutcomeTable, queue: slot_queue.SlotQueue
     ) -> None:
         self._board = board
         self._queue = queue
@@ -34,7 +34,7 @@
         self, target: model.Target, error: failures.TargetCallError
     ) -> None:
         """Note a call without a whole answer."""
-        if error.is_bad_answer:
+        if error.is_target_fault:
             self._board.record(target.target_id, time.monotonic(), 1.0)
 
     def record_status(
@@ -51,12 +51,12 @@
         self, target: model.Target, progress: attempts.Progress, now_s: float
     ) -> None:
         """Note the time from a place to the first event of a stream."""
-        start_s = now_s - progress.placed_s
-        usual_s = self._queue.find_usual_start_s(progress.service)
+        start_s = now_s - progress.slot_granted_s
+        usual_s = self._queue.get_mean_first_event_s(progress.service)
         slow_s = max(
             _SLOW_OBJECTIVE_SHARE * progress.route.objective_s,
             _SLOW_START_RATIO * usual_s,
         )
         failed = _SLOW_FAILED if start_s > slow_s else 0.0
         self._board.record(target.target_id, now_s, failed)
-        self._queue.record_start(progress.service, start_s)
+        self._queue.record_first_event(progress.service, start_s)
--- a/src/endivevane/serving/outcome_board.py
+++ b/src/endivevane/serving/outcome_table.py
@@ -34,7 +34,7 @@
     failures: float = 0.0
 
 
-class OutcomeBoard:
+class OutcomeTable:
     """Collects what became of the calls of this daemon and of its peers, by target."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         own.answers += 1.0
         own.failures += failed
 
-    def find_failed_share(self, target_id: str, now_s: float) -> float:
+    def find_failure_rate(self, target_id: str, now_s: float) -> float:
         """Return the share of a target's answers that failed lately, 0 to 1."""
         self._age(now_s)
         own = self._own.get(target_id)
@@ -67,7 +67,7 @@
 
     def is_ejected(self, target_id: str, now_s: float) -> bool:
         """Whether so many answers of a target fail that it should get no work."""
-        return self.find_failed_share(target_id, now_s) >= _EJECTION_SHARE
+        return self.find_failure_rate(target_id, now_s) >= _EJECTION_SHARE
 
     def list_own(self, now_s: float) -> dict[str, Outcomes]:
         """Return what this daemon has seen of targets with failures."""
@@ -90,7 +90,7 @@
         self,
         peer: str,
         outcomes: abc.Mapping[str, Outcomes],
-        is_of_region: bool = False,
+        covers_region: bool = False,
     ) -> None:
         """Replace the outcomes that a peer has reported.
 
@@ -99,7 +99,7 @@
         self.drop_report(peer)
         if not outcomes:
             return
-        most = float("inf") if is_of_region else _MOST_FAILURES_OF_PEER
+        most = float("inf") if covers_region else _MOST_FAILURES_OF_PEER
         report = {
             target_id: Outcomes(each.answers, min(each.failures, most))
             for target_id, each in outcomes.items()
--- a/src/endivevane/serving/owned_jobs.py
+++ b/src/endivevane/serving/owned_jobs.py
@@ -5,7 +5,7 @@
 import asyncio
 import dataclasses
 
-from endivevane.serving import event_stream, job_book, jobs, places
+from endivevane.serving import job_registry, jobs, slot_registry, sse
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -32,11 +32,11 @@
     breaks: int = 0
     not_before_s: float = 0.0
     routeless_since_s: float = 0.0
-    place: places.Place | None = None
+    place: slot_registry.Slot | None = None
     started_s: float = 0.0
     task: asyncio.Task[None] | None = None
 
-    def take(self, event: event_stream.Event) -> bool:
+    def take(self, event: sse.Event) -> bool:
         """Add an event; return whether it follows the last one."""
         if event.event_id.isdigit():
             number = int(event.event_id)
@@ -65,7 +65,7 @@
     :ivar committing: task that stores results, ``None`` while there are none
     """
 
-    entry: job_book.BookEntry
+    entry: job_registry.BookEntry
     runs: dict[str, ItemRun]
     results: list[jobs.ItemResult] = dataclasses.field(default_factory=list)
     committing: asyncio.Task[None] | None = None
@@ -99,7 +99,7 @@
 
 
 def make_owned_job(
-    entry: job_book.BookEntry,
+    entry: job_registry.BookEntry,
     items: tuple[jobs.Item, ...],
     taken: jobs.Taken,
 ) -> OwnedJob:
--- a/src/endivevane/serving/peer_messages.py
+++ b/src/endivevane/serving/peer_messages.py
@@ -9,11 +9,11 @@
 
 import orjson
 
-from endivevane.serving import load_board, outcome_board, place_messages, places
+from endivevane.serving import load_table, outcome_table, slot_messages, slot_registry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stranger:
+class UnregisteredPeer:
     """A living daemon that the store may not have named to all others yet."""
 
     name: str
@@ -27,15 +27,15 @@
 
     :param is_known: whether its daemons have had time to report; else nothing is said
         of who is silent
-    :param silent: daemons that have been silent for long
+    :param unresponsive: daemons that have been silent for long
     :param stopping: daemons that are about to end
     """
 
     region: str
     is_known: bool = True
-    silent: tuple[str, ...] = ()
+    unresponsive: tuple[str, ...] = ()
     stopping: tuple[str, ...] = ()
-    strangers: tuple[Stranger, ...] = ()
+    unregistered: tuple[UnregisteredPeer, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     :param outcomes: answers of targets with failures
     :param version: newest version of the store that the sender knows of
     :param is_stopping: whether the daemon is about to end
-    :param living: names and incarnations of the region's daemons; empty in the report
+    :param alive: names and incarnations of the region's daemons; empty in the report
         of a single daemon
     :param weight: processor share of the sender's VM, in cores
     :param held: all places that the daemon holds, for its coordinator; ``None`` where
@@ -62,27 +62,27 @@
     region: str
     incarnation: str
     sequence: int
-    loads: abc.Mapping[str, load_board.Load]
+    loads: abc.Mapping[str, load_table.Load]
     waiting_items: int = 0
     waiting_requests: abc.Mapping[str, int] = dataclasses.field(default_factory=dict)
-    outcomes: abc.Mapping[str, outcome_board.Outcomes] = dataclasses.field(
+    outcomes: abc.Mapping[str, outcome_table.Outcomes] = dataclasses.field(
         default_factory=dict
     )
     version: int = -1
     is_stopping: bool = False
-    living: tuple[tuple[str, str], ...] = ()
+    alive: tuple[tuple[str, str], ...] = ()
     weight: float = 1.0
-    held: tuple[places.Holding, ...] | None = None
+    held: tuple[slot_registry.HeldSlot, ...] | None = None
     state: RegionState | None = None
 
     @property
-    def is_of_region(self) -> bool:
+    def covers_region(self) -> bool:
         """Whether it speaks for all daemons of its region."""
-        return bool(self.living) or self.state is not None
+        return bool(self.alive) or self.state is not None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Notice:
+class MembershipNotice:
     """What a coordinator tells the daemons of its region.
 
     :param incarnation: run of the sender's process
@@ -101,7 +101,7 @@
     states: tuple[RegionState, ...]
 
 
-Message = Report | Notice | place_messages.Message
+Message = Report | MembershipNotice | slot_messages.Message
 
 _REPORT = "report"
 _NOTICE = "notice"
@@ -110,7 +110,7 @@
 @functools.singledispatch
 def encode(message: typing.Any) -> bytes:
     """Return a message as a datagram."""
-    return place_messages.encode(message)
+    return slot_messages.encode(message)
 
 
 @encode.register
@@ -135,7 +135,7 @@
             outcomes,
             message.version,
             message.is_stopping,
-            message.living,
+            message.alive,
             round(message.weight, 2),
             None if held is None else [_list_fields(item) for item in held],
             None if state is None else _list_state(state),
@@ -144,7 +144,7 @@
 
 
 @encode.register
-def _(message: Notice) -> bytes:
+def _(message: MembershipNotice) -> bytes:
     return orjson.dumps(
         (
             _NOTICE,
@@ -170,7 +170,7 @@
             return _decode_report(fields)
         if kind == _NOTICE:
             return _decode_notice(fields)
-        return place_messages.decode(kind, fields)
+        return slot_messages.decode(kind, fields)
     except (AttributeError, TypeError, ValueError) as error:
         raise ValueError(f"not a message: {error}") from error
 
@@ -184,7 +184,7 @@
         incarnation=str(incarnation),
         sequence=int(sequence),
         loads={
-            str(target): load_board.Load(int(online), int(batch))
+            str(target): load_table.Load(int(online), int(batch))
             for target, online, batch in loads
         },
         waiting_items=int(items),
@@ -192,21 +192,21 @@
             str(service): int(count) for service, count in requests.items()
         },
         outcomes={
-            str(target): outcome_board.Outcomes(float(answers), float(failed))
+            str(target): outcome_table.Outcomes(float(answers), float(failed))
             for target, answers, failed in outcomes
         },
         version=int(version),
         is_stopping=bool(is_stopping),
-        living=tuple((str(peer), str(run)) for peer, run in living),
+        alive=tuple((str(peer), str(run)) for peer, run in living),
         weight=float(weight),
         held=None if held is None else tuple(_decode_holding(*item) for item in held),
         state=None if state is None else _decode_state(*state),
     )
 
 
-def _decode_notice(fields: abc.Sequence[typing.Any]) -> Notice:
+def _decode_notice(fields: abc.Sequence[typing.Any]) -> MembershipNotice:
     name, region, incarnation, sequence, version, weight, states = fields
-    return Notice(
+    return MembershipNotice(
         name=str(name),
         region=str(region),
         incarnation=str(incarnation),
@@ -217,19 +217,21 @@
     )
 
 
-def _list_fields(holding: places.Holding) -> tuple[int, str, bool]:
+def _list_fields(holding: slot_registry.HeldSlot) -> tuple[int, str, bool]:
     return (holding.number, holding.target_id, holding.is_batch)
 
 
 def _decode_holding(
     number: typing.Any, target_id: typing.Any, is_batch: typing.Any
-) -> places.Holding:
-    return places.Holding(int(number), str(target_id), bool(is_batch))
+) -> slot_registry.HeldSlot:
+    return slot_registry.HeldSlot(int(number), str(target_id), bool(is_batch))
 
 
 def _list_state(state: RegionState) -> tuple[typing.Any, ...]:
-    strangers = [(item.name, item.host, item.incarnation) for item in state.strangers]
-    return (state.region, state.is_known, state.silent, state.stopping, strangers)
+    strangers = [
+        (item.name, item.host, item.incarnation) for item in state.unregistered
+    ]
+    return (state.region, state.is_known, state.unresponsive, state.stopping, strangers)
 
 
 def _decode_state(
@@ -242,10 +244,10 @@
     return RegionState(
         region=str(region),
         is_known=bool(is_known),
-        silent=tuple(str(name) for name in silent),
+        unresponsive=tuple(str(name) for name in silent),
         stopping=tuple(str(name) for name in stopping),
-        strangers=tuple(
-            Stranger(str(name), str(host), str(incarnation))
+        unregistered=tuple(
+            UnregisteredPeer(str(name), str(host), str(incarnation))
             for name, host, incarnation in strangers
         ),
     )
--- a/src/endivevane/serving/roster.py
+++ b/src/endivevane/serving/peer_registry.py
@@ -18,7 +18,7 @@
 from endivevane.serving import peer_messages
 
 # A daemon that has not been heard of for this long is taken for dead.
-DEATH_S = 1.6
+DEAD_AFTER_S = 1.6
 # The same where the coordinator says who is silent: what was known lasts until several
 # daemons in rank have been replaced.
 _RELAYED_DEATH_S = 6.0
@@ -35,7 +35,7 @@
 # How long the list of the first in rank stays in use.
 _RANK_LIFE_S = 0.05
 # The first in rank coordinates; the second one knows enough to replace it.
-RANKED = 2
+CANDIDATE_COUNT = 2
 # Processor shares differ by small factors; this power makes the large ones likely.
 _WEIGHT_POWER = 4
 
@@ -46,10 +46,11 @@
 
     :param incarnation: names one run of its process
     :param weight: processor share of its VM, in cores
-    :param heard_s: monotonic time of its last sign of life, 0 if there was none
-    :ivar spoke_s: monotonic time at which it last said something to this daemon itself
+    :param last_seen_s: monotonic time of its last sign of life, 0 if there was none
+    :ivar last_direct_s: monotonic time at which it last said something to this daemon
+        itself
     :ivar is_stopping: whether it said that it is about to end
-    :ivar known_s: monotonic time since which it is known
+    :ivar known_since_s: monotonic time since which it is known
     :ivar suspect_until_s: monotonic time until which it is passed over
     """
 
@@ -59,15 +60,15 @@
     port: int
     incarnation: str
     weight: float = 1.0
-    heard_s: float = 0.0
+    last_seen_s: float = 0.0
     is_stopping: bool = False
-    known_s: float = dataclasses.field(default_factory=time.monotonic)
+    known_since_s: float = dataclasses.field(default_factory=time.monotonic)
     suspect_until_s: float = 0.0
-    spoke_s: float = 0.0
+    last_direct_s: float = 0.0
 
     def is_lost(self, now_s: float) -> bool:
         """Whether it has been silent for so long that most messages are in vain."""
-        return now_s - max(self.heard_s, self.known_s) > _LOST_S
+        return now_s - max(self.last_seen_s, self.known_since_s) > _LOST_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -91,19 +92,21 @@
         return f"{self.name}/{self.incarnation}"
 
 
-class Roster:
+class PeerRegistry:
     """Knows the other daemons.
 
     :ivar is_stopping: whether this daemon is about to end
-    :ivar settled_s: monotonic time from which this daemon knows enough to coordinate
-    :ivar informed_s: monotonic time at which a coordinator last said who lives
+    :ivar warmed_up_s: monotonic time from which this daemon knows enough to
+        coordinate
+    :ivar membership_updated_s: monotonic time at which a coordinator last said who
+        lives
     """
 
     def __init__(self, identity: Identity) -> None:
         self.peers: dict[str, Peer] = {}
         self.is_stopping = False
-        self.settled_s = float("inf")
-        self.informed_s = 0.0
+        self.warmed_up_s = float("inf")
+        self.membership_updated_s = 0.0
         self._identity = identity
         self._scores: dict[tuple[str, str, float], float] = {}
         self._ranks: dict[str, tuple[float, list[str]]] = {}
@@ -112,17 +115,17 @@
         self._registered: dict[str, str] = {}
 
     @property
-    def is_large(self) -> bool:
+    def is_coordinated(self) -> bool:
         """Whether this daemon's region has a coordinator."""
         return self._near_count > _MOST_PEERS_IN_MESH
 
     def has_coordinator(self, region: str) -> bool:
         """Whether a region has a coordinator."""
         if region == self._identity.region:
-            return self.is_large
+            return self.is_coordinated
         return self.find_region_size(region) > _MOST_PEERS_IN_MESH + 1
 
-    def count_near(self) -> int:
+    def count_region_peers(self) -> int:
         """Return the number of other daemons of this region, living or not."""
         return self._near_count
 
@@ -136,7 +139,7 @@
             known.host, known.port, known.weight = peer.host, peer.port, peer.weight
             return
         # What others say of a daemon does not tell one run of it from the next.
-        if known is None or time.monotonic() - known.spoke_s >= DEATH_S:
+        if known is None or time.monotonic() - known.last_direct_s >= DEAD_AFTER_S:
             self._set(peer)
 
     def remove(self, name: str) -> None:
@@ -144,10 +147,10 @@
         if self.peers.pop(name, None) is not None:
             self._note_change()
 
-    def note_heard(self, heard: Peer) -> bool:
+    def record_heartbeat(self, heard: Peer) -> bool:
         """Take in a sign of life; return whether the daemon was not known to live."""
         known = self.peers.get(heard.name)
-        heard.spoke_s = heard.heard_s
+        heard.last_direct_s = heard.last_seen_s
         if known is None or known.incarnation != heard.incarnation:
             logs.info("peer_heard", peer=heard.name, incarnation=heard.incarnation)
             self._set(heard)
@@ -156,26 +159,28 @@
         if is_new or known.is_stopping != heard.is_stopping or known.suspect_until_s:
             self._ranks.clear()
         known.host, known.weight = heard.host, heard.weight
-        known.heard_s = max(known.heard_s, heard.heard_s)
-        known.spoke_s = heard.spoke_s
+        known.last_seen_s = max(known.last_seen_s, heard.last_seen_s)
+        known.last_direct_s = heard.last_direct_s
         known.is_stopping = heard.is_stopping
         known.suspect_until_s = 0.0
         return is_new
 
-    def note_living(self, living: abc.Iterable[tuple[str, str]], now_s: float) -> None:
+    def record_alive(self, living: abc.Iterable[tuple[str, str]], now_s: float) -> None:
         """Note daemons that another region names as alive."""
         for name, incarnation in living:
             peer = self.peers.get(name)
             if peer is not None and peer.incarnation == incarnation:
-                peer.heard_s = now_s
+                peer.last_seen_s = now_s
 
-    def note_state(self, state: peer_messages.RegionState, now_s: float) -> None:
+    def apply_region_state(
+        self, state: peer_messages.RegionState, now_s: float
+    ) -> None:
         """Take in which daemons of a region live, from its coordinator."""
-        for stranger in state.strangers:
+        for stranger in state.unregistered:
             self._note_stranger(stranger, state.region)
         if state.is_known and state.region == self._identity.region:
-            self.informed_s = now_s
-        silent = frozenset(state.silent)
+            self.membership_updated_s = now_s
+        silent = frozenset(state.unresponsive)
         stopping = frozenset(state.stopping)
         for peer in self.peers.values():
             if peer.region != state.region:
@@ -187,15 +192,15 @@
             if not state.is_known:
                 continue
             if peer.name not in silent:
-                peer.heard_s = now_s
-            elif peer.heard_s:
-                peer.heard_s = 0.0
+                peer.last_seen_s = now_s
+            elif peer.last_seen_s:
+                peer.last_seen_s = 0.0
                 self._ranks.clear()
 
-    def note_silent(self, state: peer_messages.RegionState) -> None:
+    def mark_unresponsive(self, state: peer_messages.RegionState) -> None:
         """Take for dead what this daemon, as coordinator, has found silent."""
-        for name in state.silent:
-            self.peers[name].heard_s = 0.0
+        for name in state.unresponsive:
+            self.peers[name].last_seen_s = 0.0
 
     def describe_region(
         self, region: str, since_s: float, now_s: float
@@ -208,18 +213,18 @@
         is_known = now_s - since_s >= _REPORTING_S
         silent: list[str] = []
         stopping: list[str] = []
-        strangers: list[peer_messages.Stranger] = []
+        strangers: list[peer_messages.UnregisteredPeer] = []
         for peer in self.peers.values():
             if peer.region != region:
                 continue
-            is_fresh = now_s - peer.known_s < _REPORTING_S
-            if is_known and not is_fresh and now_s - peer.heard_s >= DEATH_S:
+            is_fresh = now_s - peer.known_since_s < _REPORTING_S
+            if is_known and not is_fresh and now_s - peer.last_seen_s >= DEAD_AFTER_S:
                 silent.append(peer.name)
                 continue
             if peer.is_stopping:
                 stopping.append(peer.name)
             if self._registered.get(peer.name) != peer.incarnation:
-                stranger = peer_messages.Stranger(
+                stranger = peer_messages.UnregisteredPeer(
                     peer.name, peer.host, peer.incarnation
                 )
                 strangers.append(stranger)
@@ -236,8 +241,8 @@
         peer = self.peers.get(name)
         if peer is None or (incarnation and peer.incarnation != incarnation):
             return False
-        limit_s = _RELAYED_DEATH_S if self.is_large else DEATH_S
-        return time.monotonic() - peer.heard_s < limit_s
+        limit_s = _RELAYED_DEATH_S if self.is_coordinated else DEAD_AFTER_S
+        return time.monotonic() - peer.last_seen_s < limit_s
 
     def find_region_size(self, region: str) -> int:
         """Return the number of other daemons of a region, living or not."""
@@ -245,16 +250,18 @@
 
     def list_alive(self) -> list[Peer]:
         """Return the other daemons that live."""
-        limit_s = _RELAYED_DEATH_S if self.is_large else DEATH_S
+        limit_s = _RELAYED_DEATH_S if self.is_coordinated else DEAD_AFTER_S
         now_s = time.monotonic()
-        return [peer for peer in self.peers.values() if now_s - peer.heard_s < limit_s]
+        return [
+            peer for peer in self.peers.values() if now_s - peer.last_seen_s < limit_s
+        ]
 
-    def list_near(self) -> list[Peer]:
+    def list_region_peers(self) -> list[Peer]:
         """Return the other daemons of this region, living or not."""
         region = self._identity.region
         return [peer for peer in self.peers.values() if peer.region == region]
 
-    def list_staying(self) -> list[str]:
+    def list_active(self) -> list[str]:
         """Return the names of the daemons that live and go on, this one included."""
         names = [peer.name for peer in self.list_alive() if not peer.is_stopping]
         if not self.is_stopping:
@@ -280,28 +287,34 @@
             if peer.region == region and self._may_coordinate(peer, now_s)
         }
         own = self._identity
-        is_ready = not self.is_large or self.is_settled(now_s)
+        is_ready = not self.is_coordinated or self.is_warmed_up(now_s)
         if region == own.region and not self.is_stopping and is_ready:
             scores[own.name] = self._find_score(region, own.name, own.weight)
-        ranked = sorted(scores, key=lambda name: scores[name], reverse=True)[:RANKED]
+        ranked = sorted(scores, key=lambda name: scores[name], reverse=True)[
+            :CANDIDATE_COUNT
+        ]
         self._ranks[region] = (now_s, ranked)
         return ranked
 
-    def is_informed(self, now_s: float) -> bool:
+    def is_membership_current(self, now_s: float) -> bool:
         """Whether this daemon has heard a moment ago who lives."""
-        return not self.is_large or now_s - self.informed_s < DEATH_S
+        return (
+            not self.is_coordinated or now_s - self.membership_updated_s < DEAD_AFTER_S
+        )
 
-    def is_settled(self, now_s: float) -> bool:
+    def is_warmed_up(self, now_s: float) -> bool:
         """Whether this daemon knows enough to coordinate its region."""
-        return now_s >= self.settled_s
+        return now_s >= self.warmed_up_s
 
     def is_coordinator(self, now_s: float) -> bool:
         """Whether this daemon coordinates its region."""
-        if not self.is_large:
+        if not self.is_coordinated:
             return False
         return self.rank(self._identity.region, now_s)[:1] == [self._identity.name]
 
-    def _note_stranger(self, stranger: peer_messages.Stranger, region: str) -> None:
+    def _note_stranger(
+        self, stranger: peer_messages.UnregisteredPeer, region: str
+    ) -> None:
         """Take in a daemon that the store has not named here yet."""
         known = self.peers.get(stranger.name)
         if stranger.name == self._identity.name:
@@ -325,7 +338,7 @@
     def _may_coordinate(self, peer: Peer, now_s: float) -> bool:
         if peer.is_stopping or now_s < peer.suspect_until_s:
             return False
-        is_fresh = not peer.heard_s and now_s - peer.known_s < _FRESH_S
+        is_fresh = not peer.last_seen_s and now_s - peer.known_since_s < _FRESH_S
         return is_fresh or self.is_alive(peer.name)
 
     def _find_score(self, region: str, name: str, weight: float) -> float:
--- a/src/endivevane/serving/peers.py
+++ b/src/endivevane/serving/peers.py
@@ -18,14 +18,14 @@
 from endivevane.serving import (
     coordinated_reports,
     coordinator,
-    load_board,
+    load_table,
     newest_version,
     peer_messages,
-    place_client,
-    place_messages,
-    places,
+    peer_registry,
     region_reports,
-    roster,
+    slot_client,
+    slot_messages,
+    slot_registry,
 )
 
 # Shortest time between two reports of a daemon with few peers.
@@ -47,11 +47,11 @@
 
     def __init__(
         self,
-        identity: roster.Identity,
-        members: roster.Roster,
-        board: load_board.LoadBoard,
+        identity: peer_registry.Identity,
+        members: peer_registry.PeerRegistry,
+        board: load_table.LoadTable,
         newest: newest_version.NewestVersion,
-        book: places.PlaceBook,
+        book: slot_registry.SlotRegistry,
         on_report: abc.Callable[[], None],
     ) -> None:
         self._identity = identity
@@ -72,7 +72,7 @@
             self._make_held_report,
             self._send_to_peer,
         )
-        self._client: place_client.PlaceClient | None = None
+        self._client: slot_client.SlotClient | None = None
         self._coordinator: coordinator.Coordinator | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._sequence = 0
@@ -84,7 +84,7 @@
         self._sent_s = 0.0
 
     def connect(
-        self, client: place_client.PlaceClient, giver: coordinator.Coordinator
+        self, client: slot_client.SlotClient, giver: coordinator.Coordinator
     ) -> None:
         """Set what takes messages about places."""
         self._client = client
@@ -116,34 +116,34 @@
         """Tell the others that this daemon is about to end."""
         self._roster.is_stopping = True
         now_s = time.monotonic()
-        if self._roster.is_large:
+        if self._roster.is_coordinated:
             self._coordinated.report(now_s)
         else:
             self._report(now_s)
 
-    def send_place_message(self, name: str, message: place_messages.Message) -> None:
+    def send_slot_message(self, name: str, message: slot_messages.Message) -> None:
         """Send a message about places to a daemon."""
         peer = self._roster.peers.get(name)
         if peer is not None:
             self._send(peer_messages.encode(message), peer.host, peer.port)
 
     @property
-    def spread_s(self) -> float:
+    def propagation_s(self) -> float:
         """Time in which every daemon hears what any other one has to say."""
-        if not self._roster.is_large:
+        if not self._roster.is_coordinated:
             return _QUIET_INTERVAL_S + 0.1
         return 2 * self._coordinated.interval_s + 0.2
 
     async def run(self) -> None:
         """Report whenever the load changes, and now and then besides."""
         while True:
-            is_large = self._roster.is_large
-            interval_s = find_interval_s(self._roster.count_near())
+            is_large = self._roster.is_coordinated
+            interval_s = find_interval_s(self._roster.count_region_peers())
             if is_large:
                 interval_s = self._coordinated.tick_s
             elif self._roster.peers:
-                self._board.near_age_s = interval_s
-                self._board.far_age_s = region_reports.find_interval_s(
+                self._board.same_region_age_s = interval_s
+                self._board.cross_region_age_s = region_reports.find_interval_s(
                     len(self._roster.peers)
                 )
             await asyncio.sleep(interval_s)
@@ -158,7 +158,7 @@
                 continue
             self._sent_version, self._sent_s = self._board.version, now_s
             self._report(now_s)
-            self._board.drop_silent(now_s)
+            self._board.drop_stale_reports(now_s)
 
     @functools.singledispatchmethod
     def _take(self, message: typing.Any, host: str) -> None:
@@ -166,52 +166,52 @@
         sender = self._find_name(host)
         if sender is None or self._client is None or self._coordinator is None:
             return
-        if not isinstance(message, place_messages.Ask | place_messages.Ended):
-            self._client.take(sender, message)
+        if not isinstance(message, slot_messages.Acquire | slot_messages.Release):
+            self._client.handle(sender, message)
             return
         now_s = time.monotonic()
-        if self._roster.is_settled(now_s):
-            self._coordinator.take(sender, message, now_s)
+        if self._roster.is_warmed_up(now_s):
+            self._coordinator.handle(sender, message, now_s)
         else:
             self._coordinator.refuse(sender, message)
 
     @_take.register
-    def _(self, message: peer_messages.Notice, host: str) -> None:
+    def _(self, message: peer_messages.MembershipNotice, host: str) -> None:
         if message.name == self._identity.name or not self._is_news(message):
             return
         now_s = time.monotonic()
-        self._newest.note(message.version)
+        self._newest.record(message.version)
         self._note_life(message, host, now_s)
         if message.region != self._identity.region:
             return
-        self._coordinated.note_notice(message.name, now_s)
+        self._coordinated.handle_notice(message.name, now_s)
         for state in message.states:
-            self._roster.note_state(state, now_s)
+            self._roster.apply_region_state(state, now_s)
 
     @_take.register
     def _(self, message: peer_messages.Report, host: str) -> None:
         if message.name == self._identity.name or not self._is_news(message):
             return
         now_s = time.monotonic()
-        self._newest.note(message.version)
-        report = load_board.LoadReport(
+        self._newest.record(message.version)
+        report = load_table.LoadReport(
             loads=message.loads,
             received_s=now_s,
             waiting_items=message.waiting_items,
             waiting_requests=message.waiting_requests,
             outcomes=message.outcomes,
-            is_of_region=message.is_of_region,
+            covers_region=message.covers_region,
         )
         peer = self._roster.peers.get(message.name)
-        is_direct = not message.is_of_region or peer is None or peer.host == host
+        is_direct = not message.covers_region or peer is None or peer.host == host
         if is_direct and self._note_life(message, host, now_s):
             self._greet(host)
-        if message.is_of_region:
+        if message.covers_region:
             self._take_region(message, report, is_direct, now_s)
         elif message.region == self._identity.region:
             self._board.set_report(message.name, report)
             if message.held is not None and self._coordinator is not None:
-                self._coordinator.take_holdings(
+                self._coordinator.apply_held_slots(
                     message.name, message.incarnation, message.held, now_s
                 )
         self._on_report()
@@ -219,7 +219,7 @@
     def _take_region(
         self,
         message: peer_messages.Report,
-        report: load_board.LoadReport,
+        report: load_table.LoadReport,
         is_direct: bool,
         now_s: float,
     ) -> None:
@@ -227,18 +227,18 @@
         if message.region == self._identity.region:
             return
         self._board.set_report(region_reports.make_key(message.region), report)
-        self._roster.note_living(message.living, now_s)
+        self._roster.record_alive(message.alive, now_s)
         if message.state is not None:
-            self._roster.note_state(message.state, now_s)
+            self._roster.apply_region_state(message.state, now_s)
         if not is_direct:
             return
         data = peer_messages.encode(message)
         for peer in self._list_recipients(now_s):
             self._send(data, peer.host, peer.port)
 
-    def _list_recipients(self, now_s: float) -> list[roster.Peer]:
+    def _list_recipients(self, now_s: float) -> list[peer_registry.Peer]:
         """Return the daemons of this region that need the report of another one."""
-        if not self._roster.is_large:
+        if not self._roster.is_coordinated:
             region = self._identity.region
             alive = self._roster.list_alive()
             return [peer for peer in alive if peer.region == region]
@@ -247,12 +247,14 @@
             return []
         return [self._roster.peers[name] for name in ranked]
 
-    def _is_news(self, message: peer_messages.Report | peer_messages.Notice) -> bool:
+    def _is_news(
+        self, message: peer_messages.Report | peer_messages.MembershipNotice
+    ) -> bool:
         """Whether a message is not older than another one of its sender."""
         sender = message.name
-        if isinstance(message, peer_messages.Notice):
+        if isinstance(message, peer_messages.MembershipNotice):
             sender += "/notice"
-        elif message.is_of_region:
+        elif message.covers_region:
             sender += "/region"
         incarnation, last = self._received.get(sender, ("", -1))
         if incarnation == message.incarnation and message.sequence <= last:
@@ -262,31 +264,31 @@
 
     def _note_life(
         self,
-        message: peer_messages.Report | peer_messages.Notice,
+        message: peer_messages.Report | peer_messages.MembershipNotice,
         host: str,
         now_s: float,
     ) -> bool:
         """Note a sign of life; return whether its daemon was not known to live."""
-        heard = roster.Peer(
+        heard = peer_registry.Peer(
             message.name,
             message.region,
             host,
             self._identity.port,
             message.incarnation,
             weight=message.weight,
-            heard_s=now_s,
+            last_seen_s=now_s,
         )
         if isinstance(message, peer_messages.Report):
             heard.is_stopping = message.is_stopping
         self._names[host] = message.name
-        return self._roster.note_heard(heard)
+        return self._roster.record_heartbeat(heard)
 
     def _greet(self, host: str) -> None:
         """Answer a daemon that was not known, which may know of no other one.
 
         Daemons of a small region report to each other anyway.
         """
-        if not self._roster.is_large:
+        if not self._roster.is_coordinated:
             return
         data = peer_messages.encode(self._make_report({}))
         self._send(data, host, self._identity.port)
@@ -333,7 +335,7 @@
         """Return a report of the places that this daemon holds."""
         return dataclasses.replace(
             self._make_report({}),
-            held=self._book.list_holdings(),
+            held=self._book.list_held(),
             waiting_items=self._board.own_waiting_items,
             outcomes=self._board.outcomes.list_own(now_s),
         )
@@ -350,7 +352,7 @@
         self._send_to_seeds(peer_messages.encode(report), frozenset())
 
     def _make_report(
-        self, loads: abc.Mapping[str, load_board.Load]
+        self, loads: abc.Mapping[str, load_table.Load]
     ) -> peer_messages.Report:
         self._sequence += 1
         return peer_messages.Report(
@@ -364,7 +366,7 @@
             weight=self._identity.weight,
         )
 
-    def _send_to_peer(self, data: bytes, peer: roster.Peer) -> None:
+    def _send_to_peer(self, data: bytes, peer: peer_registry.Peer) -> None:
         self._send(data, peer.host, peer.port)
 
     def _send(self, data: bytes, host: str, port: int) -> None:
--- a/src/endivevane/serving/giving_way.py
+++ b/src/endivevane/serving/preemption.py
@@ -6,7 +6,7 @@
 import typing
 from collections import abc
 
-from endivevane.serving import item_pace, placement
+from endivevane.serving import item_estimates, target_selection
 
 T = typing.TypeVar("T")
 
@@ -19,11 +19,13 @@
     """
 
     item: T
-    urgency: item_pace.Urgency
+    urgency: item_estimates.Urgency
     started_s: float
 
 
-def choose(running: abc.Iterable[Candidate[T]], surplus: int, batch: int) -> list[T]:
+def choose_items(
+    running: abc.Iterable[Candidate[T]], surplus: int, batch: int
+) -> list[T]:
     """Return the items that leave a target.
 
     Late items go first; among others, those that started last lose least. Urgent items
@@ -38,8 +40,8 @@
     )
     chosen: list[T] = []
     for candidate in ordered[:surplus]:
-        is_urgent = candidate.urgency is item_pace.Urgency.URGENT
-        if is_urgent and batch - len(chosen) <= placement.URGENT_PLACES:
+        is_urgent = candidate.urgency is item_estimates.Urgency.URGENT
+        if is_urgent and batch - len(chosen) <= target_selection.URGENT_PLACES:
             break
         chosen.append(candidate.item)
     return chosen
--- a/src/endivevane/serving/region_reports.py
+++ b/src/endivevane/serving/region_reports.py
@@ -6,15 +6,15 @@
 from collections import abc
 
 from endivevane.coordination import rendezvous
-from endivevane.serving import load_board, peer_messages, roster
+from endivevane.serving import load_table, peer_messages, peer_registry
 
 # A region reports to the others at most this often, and more seldom with many daemons
 # that the report is passed on to.
 SHORTEST_INTERVAL_S = 0.1
 _INTERVAL_PER_PEER_S = 0.005
 
-ReportMaker = abc.Callable[[abc.Mapping[str, load_board.Load]], peer_messages.Report]
-Send = abc.Callable[[bytes, roster.Peer], None]
+ReportMaker = abc.Callable[[abc.Mapping[str, load_table.Load]], peer_messages.Report]
+Send = abc.Callable[[bytes, peer_registry.Peer], None]
 
 
 class RegionReports:
@@ -26,9 +26,9 @@
 
     def __init__(
         self,
-        identity: roster.Identity,
-        members: roster.Roster,
-        board: load_board.LoadBoard,
+        identity: peer_registry.Identity,
+        members: peer_registry.PeerRegistry,
+        board: load_table.LoadTable,
         make_report: ReportMaker,
         send: Send,
     ) -> None:
@@ -72,7 +72,7 @@
             outcomes=self._board.outcomes.sum_with(members, now_s),
         )
         if since_s is None:
-            report = dataclasses.replace(report, living=self._list_living(near))
+            report = dataclasses.replace(report, alive=self._list_living(near))
         else:
             state = self._roster.describe_region(region, since_s, now_s)
             report = dataclasses.replace(report, state=state)
@@ -85,7 +85,7 @@
         return chosen == self._identity.name
 
     def _list_living(
-        self, near: abc.Iterable[roster.Peer]
+        self, near: abc.Iterable[peer_registry.Peer]
     ) -> tuple[tuple[str, str], ...]:
         """Return the daemons that live; others claim the jobs of those left out."""
         living = [
@@ -96,14 +96,14 @@
         return tuple(living)
 
     def _list_recipients(
-        self, far: abc.Iterable[roster.Peer], now_s: float
-    ) -> list[roster.Peer]:
+        self, far: abc.Iterable[peer_registry.Peer], now_s: float
+    ) -> list[peer_registry.Peer]:
         """Return the daemons of the other regions that get this report.
 
         In a region with a coordinator that one and its deputy; in another one, those
         first in rank by turns, which pass it on.
         """
-        recipients: list[roster.Peer] = []
+        recipients: list[peer_registry.Peer] = []
         for region in sorted({peer.region for peer in far}):
             names = self._roster.rank(region, now_s)
             if names and not self._roster.has_coordinator(region):
--- a/src/endivevane/serving/request_log.py
+++ b/src/endivevane/serving/request_log.py
@@ -31,7 +31,7 @@
         coordinator=progress.coordinator or None,
         sends=progress.sends,
         events=progress.delivered,
-        wait_ms=_count_ms(request.received_s, progress.placed_s or None),
+        wait_ms=_count_ms(request.received_s, progress.slot_granted_s or None),
         first_ms=_count_ms(request.received_s, first_s),
         total_ms=int((ended_s - request.received_s) * 1000),
         causes="; ".join(progress.causes) or None,
--- a/src/endivevane/serving/front_door.py
+++ b/src/endivevane/serving/request_router.py
@@ -9,10 +9,10 @@
 
 from endivevane import logs
 from endivevane.serving import (
-    exchange,
     job_api,
     jobs,
     model,
+    online_service,
     responder,
     routing_table,
 )
@@ -33,21 +33,21 @@
         """Return the call that a path names, ``None`` if it names none."""
 
 
-class FrontDoor:
+class RequestRouter:
     """Hands each request to online serving or to the batch calls.
 
     :ivar table: the configuration in force, ``None`` until one is known
-    :ivar is_open: set once the configuration and the targets are known
+    :ivar is_ready: set once the configuration and the targets are known
     """
 
     def __init__(
         self,
-        online: exchange.OnlineService,
+        online: online_service.OnlineService,
         batch: job_api.JobApi,
         decoder: CallDecoder,
     ) -> None:
         self.table: routing_table.RoutingTable | None = None
-        self.is_open = asyncio.Event()
+        self.is_ready = asyncio.Event()
         self._online = online
         self._batch = batch
         self._decoder = decoder
@@ -56,12 +56,12 @@
         self, request: model.ClientRequest, answer: responder.Responder
     ) -> None:
         """Answer a request."""
-        if not self.is_open.is_set():
+        if not self.is_ready.is_set():
             await self._wait_open(request)
         table = self.table
         if table is None:
             answer.send(
-                responder.WholeAnswer(
+                responder.Response(
                     http.HTTPStatus.SERVICE_UNAVAILABLE,
                     retry_after_s=_NO_CONFIGURATION_RETRY_S,
                 )
@@ -80,7 +80,7 @@
                 path=request.path,
                 version=table.configuration.version,
             )
-            answer.send(responder.WholeAnswer(http.HTTPStatus.NOT_FOUND))
+            answer.send(responder.Response(http.HTTPStatus.NOT_FOUND))
             return
         if route.kind is model.RouteKind.BATCH:
             answer.send(await self._batch.submit(request, route))
@@ -95,7 +95,7 @@
             wait_s = min(wait_s, _START_WAIT_SHARE * left_s)
         try:
             async with asyncio.timeout(wait_s):
-                await self.is_open.wait()
+                await self.is_ready.wait()
         except TimeoutError:
             logs.limited_info(
                 "request_before_start",
--- a/src/endivevane/serving/responder.py
+++ b/src/endivevane/serving/responder.py
@@ -9,7 +9,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class Response:
     """An answer whose body is known.
 
     :param retry_after_s: when the client should come again, ``None`` to say nothing
@@ -30,7 +30,7 @@
     def is_begun(self) -> bool:
         """Whether the head of the answer was written."""
 
-    def send(self, answer: WholeAnswer) -> None:
+    def send(self, answer: Response) -> None:
         """Write a whole answer."""
 
     def begin(self, reply: model.TargetReply) -> None:
--- a/src/endivevane/serving/result_commits.py
+++ b/src/endivevane/serving/result_commits.py
@@ -10,9 +10,9 @@
 from endivevane import logs, metrics
 from endivevane.serving import (
     failures,
-    job_book,
     job_changes,
     job_reader,
+    job_registry,
     jobs,
     owned_jobs,
     store,
@@ -142,7 +142,7 @@
     def _note_applied(
         self,
         owned: owned_jobs.OwnedJob,
-        stands: job_book.BookEntry,
+        stands: job_registry.BookEntry,
         batch: list[jobs.ItemResult],
     ) -> bool:
         job = stands.job
--- a/src/endivevane/serving/place_client.py
+++ b/src/endivevane/serving/slot_client.py
@@ -11,12 +11,12 @@
 
 from endivevane import logs, metrics
 from endivevane.serving import (
-    directory,
-    item_pace,
-    place_messages,
-    place_queue,
-    places,
-    roster,
+    item_estimates,
+    peer_registry,
+    slot_messages,
+    slot_queue,
+    slot_registry,
+    target_registry,
 )
 
 # A request asks again when there is no answer within this time, which is several round
@@ -43,7 +43,7 @@
     """
 
     coordinator: str
-    answer: asyncio.Future[places.Place | place_queue.Refused | None]
+    answer: asyncio.Future[slot_registry.Slot | slot_queue.Refused | None]
     heard_s: float = 0.0
 
 
@@ -54,12 +54,12 @@
     :ivar asked_s: monotonic time of the last message about it
     """
 
-    message: place_messages.Ask
+    message: slot_messages.Acquire
     coordinator: str
     asked_s: float
 
 
-class PlaceClient:
+class SlotClient:
     """Gets places from the coordinator, for a daemon that does not coordinate.
 
     :param send: sends a message to the daemon of a name
@@ -67,12 +67,12 @@
 
     def __init__(
         self,
-        identity: roster.Identity,
+        identity: peer_registry.Identity,
         availability_zone: str,
-        members: roster.Roster,
-        targets: directory.Directory,
-        book: places.PlaceBook,
-        send: place_messages.Send,
+        members: peer_registry.PeerRegistry,
+        targets: target_registry.TargetRegistry,
+        book: slot_registry.SlotRegistry,
+        send: slot_messages.Send,
     ) -> None:
         self._identity = identity
         self._availability_zone = availability_zone
@@ -83,11 +83,11 @@
         self._online: dict[int, _OnlineAsk] = {}
         self._batch: dict[int, _BatchAsk] = {}
         # Places that batch items have not taken yet, with the time of their coming.
-        self._granted: dict[int, tuple[places.Place, float]] = {}
+        self._granted: dict[int, tuple[slot_registry.Slot, float]] = {}
         self._on_granted: abc.Callable[[], None] = _do_nothing
         self._on_give_way: abc.Callable[[int], None] = _ignore_number
 
-    def call_for_batch(
+    def set_batch_callbacks(
         self,
         on_granted: abc.Callable[[], None],
         on_give_way: abc.Callable[[int], None],
@@ -99,16 +99,16 @@
     @property
     def is_active(self) -> bool:
         """Whether another daemon gives out the places of this region."""
-        if not self._roster.is_large:
+        if not self._roster.is_coordinated:
             return False
         first = self._find_coordinator()
         return first not in (None, self._identity.name)
 
     async def ask(
-        self, wish: place_queue.Wish
-    ) -> places.Place | place_queue.Refused | None:
+        self, wish: slot_queue.SlotRequest
+    ) -> slot_registry.Slot | slot_queue.Refused | None:
         """Return a place or a refusal, ``None`` when no coordinator answers."""
-        for _ in range(roster.RANKED):
+        for _ in range(peer_registry.CANDIDATE_COUNT):
             name = self._find_coordinator()
             if name is None or name == self._identity.name:
                 return None
@@ -119,21 +119,21 @@
         return None
 
     def end(
-        self, place: places.Place, hold_s: float, start_s: float | None = None
+        self, place: slot_registry.Slot, hold_s: float, start_s: float | None = None
     ) -> None:
         """Tell the coordinator that a place is free again."""
-        message = place_messages.Ended(
+        message = slot_messages.Release(
             self._identity.incarnation, place.number, hold_s, start_s
         )
         self._send(place.coordinator, message)
 
-    def take(self, sender: str, message: place_messages.Message) -> None:
+    def handle(self, sender: str, message: slot_messages.Message) -> None:
         """Take in an answer of a coordinator."""
         self._take(message, sender)
 
     def find_batch(
-        self, service: str, urgency: item_pace.Urgency, due_left_s: float
-    ) -> places.Place | None:
+        self, service: str, urgency: item_estimates.Urgency, due_left_s: float
+    ) -> slot_registry.Slot | None:
         """Return a place for a batch item, or ask for one.
 
         :param due_left_s: time until the item is due
@@ -173,11 +173,11 @@
             self._withdraw(number, place.coordinator)
 
     async def _ask_one(
-        self, name: str, wish: place_queue.Wish
-    ) -> places.Place | place_queue.Refused | None:
+        self, name: str, wish: slot_queue.SlotRequest
+    ) -> slot_registry.Slot | slot_queue.Refused | None:
         """Return what one coordinator answers, ``None`` when it does not."""
         number = self._book.make_number()
-        future: asyncio.Future[places.Place | place_queue.Refused | None]
+        future: asyncio.Future[slot_registry.Slot | slot_queue.Refused | None]
         future = asyncio.get_running_loop().create_future()
         asked = _OnlineAsk(name, future)
         self._online[number] = asked
@@ -197,8 +197,8 @@
                 self._withdraw(number, name)
 
     async def _wait(
-        self, asked: _OnlineAsk, number: int, wish: place_queue.Wish
-    ) -> places.Place | place_queue.Refused | None:
+        self, asked: _OnlineAsk, number: int, wish: slot_queue.SlotRequest
+    ) -> slot_registry.Slot | slot_queue.Refused | None:
         """Wait for the verdict as long as the coordinator gives signs of life."""
         sent_s = time.monotonic()
         while True:
@@ -214,10 +214,12 @@
                 return None
             self._send(asked.coordinator, self._make_ask(number, wish))
 
-    def _make_ask(self, number: int, wish: place_queue.Wish) -> place_messages.Ask:
+    def _make_ask(
+        self, number: int, wish: slot_queue.SlotRequest
+    ) -> slot_messages.Acquire:
         now_s = time.monotonic()
-        only = None if wish.only is None else tuple(sorted(wish.only))
-        return place_messages.Ask(
+        only = None if wish.allowed is None else tuple(sorted(wish.allowed))
+        return slot_messages.Acquire(
             incarnation=self._identity.incarnation,
             number=number,
             service=wish.service,
@@ -225,7 +227,7 @@
             priority=wish.priority,
             objective_left_s=wish.objective_s - now_s,
             deadline_left_s=wish.deadline_s - now_s,
-            may_return=wish.may_return,
+            may_return=wish.may_retry,
             excluded=tuple(sorted(wish.excluded)),
             avoided=self._list_avoided(wish.service, now_s),
             only=only,
@@ -235,14 +237,14 @@
     def _ask_for_batch(
         self,
         service: str,
-        urgency: item_pace.Urgency,
+        urgency: item_estimates.Urgency,
         due_left_s: float,
         now_s: float,
     ) -> None:
         name = self._find_coordinator()
         if name is None:
             return
-        message = place_messages.Ask(
+        message = slot_messages.Acquire(
             incarnation=self._identity.incarnation,
             number=self._book.make_number(),
             service=service,
@@ -260,9 +262,9 @@
         return tuple(
             known.target.target_id
             for known in self._targets.list_service(service)
-            if known.is_leaving
+            if known.is_draining
             or known.health.is_paused(now_s)
-            or known.health.is_silent(now_s)
+            or known.health.is_unresponsive(now_s)
             or known.health.is_full(now_s)
         )
 
@@ -275,7 +277,7 @@
         raise TypeError(f"not an answer: {type(message).__name__}")
 
     @_take.register
-    def _(self, message: place_messages.Granted, sender: str) -> None:
+    def _(self, message: slot_messages.Granted, sender: str) -> None:
         number = message.number
         if self._book.is_held(number):
             # The answer has come twice.
@@ -297,19 +299,19 @@
         self._on_granted()
 
     @_take.register
-    def _(self, message: place_messages.Refused, sender: str) -> None:
+    def _(self, message: slot_messages.Refused, sender: str) -> None:
         asked = self._online.get(message.number)
         if asked is not None and not asked.answer.done():
-            asked.answer.set_result(place_queue.Refused(message.retry_after_s, sender))
+            asked.answer.set_result(slot_queue.Refused(message.retry_after_s, sender))
 
     @_take.register
-    def _(self, message: place_messages.Queued, sender: str) -> None:
+    def _(self, message: slot_messages.Queued, sender: str) -> None:
         asked = self._online.get(message.number)
         if asked is not None:
             asked.heard_s = time.monotonic()
 
     @_take.register
-    def _(self, message: place_messages.NotCoordinating, sender: str) -> None:
+    def _(self, message: slot_messages.NotCoordinating, sender: str) -> None:
         self._roster.suspect(sender, time.monotonic(), _NOT_COORDINATING_S)
         self._batch.pop(message.number, None)
         asked = self._online.get(message.number)
@@ -317,19 +319,21 @@
             asked.answer.set_result(None)
 
     @_take.register
-    def _(self, message: place_messages.GiveWay, sender: str) -> None:
+    def _(self, message: slot_messages.Preempt, sender: str) -> None:
         self._on_give_way(message.number)
 
-    def _give_back(self, answer: places.Place | place_queue.Refused | None) -> None:
+    def _give_back(
+        self, answer: slot_registry.Slot | slot_queue.Refused | None
+    ) -> None:
         """Free a place that came as its request ended."""
-        if not isinstance(answer, places.Place):
+        if not isinstance(answer, slot_registry.Slot):
             return
         self._book.close(answer)
         self._withdraw(answer.number, answer.coordinator)
 
     def _withdraw(self, number: int, coordinator: str) -> None:
         """Tell a coordinator that a place is not wanted."""
-        message = place_messages.Ended(self._identity.incarnation, number)
+        message = slot_messages.Release(self._identity.incarnation, number)
         self._send(coordinator, message)
 
 
--- a/src/endivevane/serving/place_messages.py
+++ b/src/endivevane/serving/slot_messages.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class Acquire:
     """A request wants a place; repeated until it is answered.
 
     :param incarnation: run of the asking daemon's process
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class Release:
     """A place is free again, or is not wanted any more.
 
     :param hold_s: how long it was held, ``None`` if it was not used
@@ -86,7 +86,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GiveWay:
+class Preempt:
     """A batch item shall leave its place to an online request."""
 
     number: int
@@ -95,7 +95,7 @@
 # Sends a message to the daemon of a name.
 Send = abc.Callable[[str, "Message"], None]
 
-Message = Ask | Granted | Refused | Queued | NotCoordinating | Ended | GiveWay
+Message = Acquire | Granted | Refused | Queued | NotCoordinating | Release | Preempt
 
 _ASK = "ask"
 _GRANTED = "granted"
@@ -113,7 +113,7 @@
 
 
 @encode.register
-def _(message: Ask) -> bytes:
+def _(message: Acquire) -> bytes:
     return orjson.dumps(
         (
             _ASK,
@@ -155,7 +155,7 @@
 
 
 @encode.register
-def _(message: Ended) -> bytes:
+def _(message: Release) -> bytes:
     return orjson.dumps(
         (
             _ENDED,
@@ -168,7 +168,7 @@
 
 
 @encode.register
-def _(message: GiveWay) -> bytes:
+def _(message: Preempt) -> bytes:
     return orjson.dumps((_GIVE_WAY, message.number))
 
 
@@ -197,9 +197,9 @@
     avoided: typing.Any,
     only: typing.Any,
     request: typing.Any,
-) -> Ask:
+) -> Acquire:
     is_batch, may_return = flags
-    return Ask(
+    return Acquire(
         incarnation=str(incarnation),
         number=int(number),
         service=str(service),
@@ -230,8 +230,8 @@
     number: typing.Any,
     hold_s: typing.Any,
     start_s: typing.Any,
-) -> Ended:
-    return Ended(
+) -> Release:
+    return Release(
         str(incarnation),
         int(number),
         None if hold_s is None else float(hold_s),
@@ -246,7 +246,7 @@
     _QUEUED: lambda number: Queued(int(number)),
     _NOT_COORDINATING: lambda number: NotCoordinating(int(number)),
     _ENDED: _decode_ended,
-    _GIVE_WAY: lambda number: GiveWay(int(number)),
+    _GIVE_WAY: lambda number: Preempt(int(number)),
 }
 
 
--- a/src/endivevane/serving/place_queue.py
+++ b/src/endivevane/serving/slot_queue.py
@@ -12,7 +12,7 @@
 import random
 from collections import abc
 
-from endivevane.serving import load_board, model, placement
+from endivevane.serving import load_table, model, target_selection
 
 # Time that a request needs at a target at least; one with less left is refused.
 _SHORTEST_RUN_S = 0.1
@@ -29,14 +29,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class SlotRequest:
     """What a request needs.
 
     :param objective_s: monotonic time until which the answer is on time
     :param deadline_s: monotonic time after which the answer is of no use
-    :param may_return: whether the client comes again after a refusal
+    :param may_retry: whether the client comes again after a refusal
     :param excluded: targets that it must not go to
-    :param only: targets that it may go to, ``None`` for any
+    :param allowed: targets that it may go to, ``None`` for any
     :param avoided: targets that its daemon has seen fail a moment ago
     :param availability_zone: where its daemon stands, empty for this daemon's own
     :param request: the request's id, for the log
@@ -46,9 +46,9 @@
     priority: int
     objective_s: float
     deadline_s: float
-    may_return: bool = False
+    may_retry: bool = False
     excluded: frozenset[str] = frozenset()
-    only: frozenset[str] | None = None
+    allowed: frozenset[str] | None = None
     avoided: frozenset[str] = frozenset()
     availability_zone: str = ""
     request: str = ""
@@ -56,7 +56,7 @@
     @property
     def is_limited(self) -> bool:
         """Whether it may find no place where another request finds one."""
-        return bool(self.excluded or self.avoided) or self.only is not None
+        return bool(self.excluded or self.avoided) or self.allowed is not None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
     :param settle: called once with the verdict; it counts the place
     """
 
-    wish: Wish
+    wish: SlotRequest
     number: int
     settle: Settle
     is_settled: bool = False
@@ -103,13 +103,13 @@
         return (is_late, self.wish.priority, self.wish.objective_s, self.number)
 
 
-class PlaceQueue:
+class SlotQueue:
     """Gives places to requests in order, and keeps those waiting that find none."""
 
     def __init__(
         self,
-        choices: placement.Placement,
-        board: load_board.LoadBoard,
+        choices: target_selection.TargetSelector,
+        board: load_table.LoadTable,
         generator: random.Random,
     ) -> None:
         self._choices = choices
@@ -124,7 +124,7 @@
         """Number of requests that wait."""
         return len(self._waiters)
 
-    def ask(self, wish: Wish, settle: Settle, now_s: float) -> Waiter | None:
+    def ask(self, wish: SlotRequest, settle: Settle, now_s: float) -> Waiter | None:
         """Settle a request at once, or keep it waiting.
 
         :returns: ``None`` when it was settled
@@ -171,12 +171,12 @@
         """Note how long a request held its place."""
         self._choices.record_hold(service, hold_s)
 
-    def record_start(self, service: str, start_s: float) -> None:
+    def record_first_event(self, service: str, start_s: float) -> None:
         """Note the time from a place to the first event."""
         mean_s = self._start_s.get(service, _FIRST_START_S)
         self._start_s[service] = mean_s + _START_WEIGHT * (start_s - mean_s)
 
-    def find_usual_start_s(self, service: str) -> float:
+    def get_mean_first_event_s(self, service: str) -> float:
         """Return the mean time from a place to the first event."""
         return self._start_s.get(service, _FIRST_START_S)
 
@@ -194,17 +194,17 @@
         wait_s = min(_LONGEST_RETRY_S, max(_SHORTEST_RETRY_S, wait_s))
         return wait_s * (0.75 + 0.5 * self._generator.random())
 
-    def explain(self, service: str) -> dict[str, object]:
+    def describe_load(self, service: str) -> dict[str, object]:
         """Return what a refusal for lack of a place was decided on, for the log."""
         return {
             "slots": self._choices.count_slots(service),
             "running": self._choices.count_running(service),
             "waiting": self._board.count_waiting_requests(service),
             "wait_ms": int(self.estimate_wait_s(service) * 1000),
-            "load_age_ms": int(self._board.near_age_s * 1000),
+            "load_age_ms": int(self._board.same_region_age_s * 1000),
         }
 
-    def _decide(self, wish: Wish, now_s: float) -> Verdict | None:
+    def _decide(self, wish: SlotRequest, now_s: float) -> Verdict | None:
         """Return the verdict on a new request, ``None`` if it has to wait."""
         if wish.deadline_s - now_s < _SHORTEST_RUN_S:
             return self._refuse(wish.service)
@@ -242,7 +242,7 @@
             )
         )
 
-    def _has_rivals(self, wish: Wish, now_s: float) -> bool:
+    def _has_rivals(self, wish: SlotRequest, now_s: float) -> bool:
         """Whether others of the service wait that go before this request."""
         start_s = self._find_start_s(wish.service)
         mine = (now_s + start_s > wish.objective_s, wish.priority)
@@ -253,7 +253,7 @@
                 return True
         return False
 
-    def _should_refuse(self, wish: Wish, now_s: float) -> bool:
+    def _should_refuse(self, wish: SlotRequest, now_s: float) -> bool:
         """Whether a request is better off elsewhere in time than in the queue.
 
         What would be late and comes again is asked to return when there is room; what
@@ -263,16 +263,16 @@
         if served_s + _SHORTEST_RUN_S > wish.deadline_s:
             return True
         start_s = self._find_start_s(wish.service)
-        return wish.may_return and served_s + start_s > wish.objective_s
+        return wish.may_retry and served_s + start_s > wish.objective_s
 
     def _find_start_s(self, service: str) -> float:
-        return _START_MARGIN * self.find_usual_start_s(service)
+        return _START_MARGIN * self.get_mean_first_event_s(service)
 
-    def _choose(self, wish: Wish, now_s: float) -> model.Target | None:
+    def _choose(self, wish: SlotRequest, now_s: float) -> model.Target | None:
         return self._choices.choose_online(
             wish.service,
             now_s,
             wish.excluded | wish.avoided,
-            wish.only,
+            wish.allowed,
             wish.availability_zone,
         )
--- a/src/endivevane/serving/places.py
+++ b/src/endivevane/serving/slot_registry.py
@@ -5,11 +5,11 @@
 import dataclasses
 import itertools
 
-from endivevane.serving import load_board, model
+from endivevane.serving import load_table, model
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class Slot:
     """A place on a target, held by one request.
 
     :param number: names it among all places of this daemon
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holding:
+class HeldSlot:
     """What other daemons are told of a place."""
 
     number: int
@@ -31,13 +31,13 @@
     is_batch: bool
 
 
-class PlaceBook:
+class SlotRegistry:
     """Numbers the places of this daemon and counts them on its load board."""
 
-    def __init__(self, board: load_board.LoadBoard) -> None:
+    def __init__(self, board: load_table.LoadTable) -> None:
         self._board = board
         self._numbers = itertools.count(1)
-        self._held: dict[int, Place] = {}
+        self._held: dict[int, Slot] = {}
 
     def make_number(self) -> int:
         """Return a number that no place has had."""
@@ -49,7 +49,7 @@
         is_batch: bool,
         number: int | None = None,
         coordinator: str = "",
-    ) -> Place:
+    ) -> Slot:
         """Hold a place from now on.
 
         :param number: the number under which it was asked for, ``None`` for a new one
@@ -57,12 +57,12 @@
         """
         if number is None:
             number = self.make_number()
-        place = Place(target, number, is_batch, coordinator)
+        place = Slot(target, number, is_batch, coordinator)
         self._held[number] = place
         self._board.begin(target.target_id, is_batch)
         return place
 
-    def close(self, place: Place) -> None:
+    def close(self, place: Slot) -> None:
         """Hold a place no longer; a second time changes nothing."""
         if self._held.pop(place.number, None) is None:
             return
@@ -72,9 +72,9 @@
         """Whether a place is held."""
         return number in self._held
 
-    def list_holdings(self) -> tuple[Holding, ...]:
+    def list_held(self) -> tuple[HeldSlot, ...]:
         """Return all places that are held."""
         return tuple(
-            Holding(place.number, place.target.target_id, place.is_batch)
+            HeldSlot(place.number, place.target.target_id, place.is_batch)
             for place in self._held.values()
         )
--- a/src/endivevane/serving/event_stream.py
+++ b/src/endivevane/serving/sse.py
@@ -36,14 +36,14 @@
         return "event too large"
 
 
-class EventSplitter:
+class EventParser:
     """Collects bytes until they make whole events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes that do not make a whole event yet."""
         return self._rest
 
--- a/src/endivevane/serving/target_calls.py
+++ b/src/endivevane/serving/target_client.py
@@ -11,7 +11,7 @@
 import h11
 
 from endivevane import logs, metrics
-from endivevane.serving import directory, failures, http_client, model
+from endivevane.serving import failures, http_client, model, target_registry
 
 # Silence of targets is looked for this often while an answer is awaited.
 _WATCH_S = 0.1
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        known: directory.KnownTarget,
+        known: target_registry.KnownTarget,
         connection: http_client.Connection,
         stall_s: float,
     ) -> None:
@@ -77,9 +77,9 @@
     def _look(self) -> None:
         now_s = time.monotonic()
         health = self._known.health
-        if health.is_silent(now_s):
+        if health.is_unresponsive(now_s):
             self.cause = _SILENT
-            health.record_silence()
+            health.record_inactivity()
         elif now_s - self._progress_s > self._stall_s:
             self.cause = _STALLED
         else:
@@ -89,20 +89,20 @@
         self._connection.stream.fail(TimeoutError(self.cause))
 
 
-class Answer:
+class TargetResponse:
     """An answer that is being read.
 
-    :ivar reply: its head
+    :ivar head: its head
     """
 
     def __init__(
         self,
-        known: directory.KnownTarget,
+        known: target_registry.KnownTarget,
         connection: http_client.Connection,
         reply: model.TargetReply,
         watch: _Watch,
     ) -> None:
-        self.reply = reply
+        self.head = reply
         self.is_whole = False
         self._known = known
         self._connection = connection
@@ -119,7 +119,7 @@
         """Whether any byte of the body has come."""
         return self._has_events
 
-    def note_event(self) -> None:
+    def record_event(self) -> None:
         """Note that a whole event has come."""
         self._watch.note_progress()
 
@@ -133,7 +133,7 @@
             data = await self._connection.read_data()
         except (http_client.BrokenAnswer, OSError) as error:
             raise _make_error(self._known, self._watch, str(error)) from error
-        self._known.health.record_heard(time.monotonic())
+        self._known.health.record_data(time.monotonic())
         if data is None:
             self.is_whole = True
             return None
@@ -143,7 +143,7 @@
         return data
 
 
-class TargetCaller:
+class TargetClient:
     """Opens calls to targets and keeps their connections.
 
     :param on_leaving: called with a target that says that it leaves
@@ -153,7 +153,7 @@
         self,
         pool: http_client.ConnectionPool,
         codec: CallCodec,
-        on_leaving: abc.Callable[[directory.KnownTarget], None],
+        on_leaving: abc.Callable[[target_registry.KnownTarget], None],
     ) -> None:
         self._pool = pool
         self._codec = codec
@@ -162,10 +162,10 @@
     @contextlib.asynccontextmanager
     async def call(
         self,
-        known: directory.KnownTarget,
+        known: target_registry.KnownTarget,
         call: model.TargetCall,
         is_idempotent: bool,
-    ) -> abc.AsyncIterator[Answer]:
+    ) -> abc.AsyncIterator[TargetResponse]:
         """Send a call and yield its answer; the connection ends with the block.
 
         :param is_idempotent: whether the call may be sent again elsewhere; only then
@@ -175,10 +175,10 @@
         target = known.target
         connection = await self._connect(known, call, is_idempotent)
         known.health.begin_call(time.monotonic())
-        watch = _Watch(known, connection, call.stall_s)
+        watch = _Watch(known, connection, call.stall_timeout_s)
         if is_idempotent:
             watch.start()
-        answer: Answer | None = None
+        answer: TargetResponse | None = None
         try:
             headers = self._codec.encode_call(call, target)
             head = await self._exchange(known, connection, call, headers, watch)
@@ -193,7 +193,7 @@
                     target.host,
                     target.port,
                     connection,
-                    answer.reply.idle_timeout_s,
+                    answer.head.idle_timeout_s,
                 )
             else:
                 connection.stream.abort()
@@ -203,7 +203,10 @@
         self._pool.forget(target.host, target.port)
 
     async def _connect(
-        self, known: directory.KnownTarget, call: model.TargetCall, is_idempotent: bool
+        self,
+        known: target_registry.KnownTarget,
+        call: model.TargetCall,
+        is_idempotent: bool,
     ) -> http_client.Connection:
         target = known.target
         idle_s = float("inf") if is_idempotent else UNSAFE_IDLE_S
@@ -219,7 +222,7 @@
 
     async def _exchange(
         self,
-        known: directory.KnownTarget,
+        known: target_registry.KnownTarget,
         connection: http_client.Connection,
         call: model.TargetCall,
         headers: list[tuple[bytes, bytes]],
@@ -247,26 +250,26 @@
 
     def _make_answer(
         self,
-        known: directory.KnownTarget,
+        known: target_registry.KnownTarget,
         connection: http_client.Connection,
         head: h11.Response,
         call: model.TargetCall,
         watch: _Watch,
-    ) -> Answer:
+    ) -> TargetResponse:
         reply = self._codec.decode_reply(
             head.status_code, bytes(head.reason), list(head.headers.raw_items())
         )
-        if reply.is_leaving:
+        if reply.is_draining:
             self._on_leaving(known)
         if _is_answer_to(call, reply, connection):
-            known.health.record_heard(time.monotonic())
-            return Answer(known, connection, reply, watch)
+            known.health.record_data(time.monotonic())
+            return TargetResponse(known, connection, reply, watch)
         metrics.TARGET_FAULTS.labels("foreign_answer").inc()
         raise failures.TargetCallError(
             known.target.target_id,
             "answer to another request",
             may_have_run=True,
-            is_bad_answer=True,
+            is_target_fault=True,
         )
 
 
@@ -286,7 +289,7 @@
 
 
 def _make_error(
-    known: directory.KnownTarget, watch: _Watch, cause: str
+    known: target_registry.KnownTarget, watch: _Watch, cause: str
 ) -> failures.TargetCallError:
     """Return what a broken call means for its request and for the target."""
     # Silence may be due to the path; bytes that are no events are not.
@@ -301,5 +304,5 @@
         known.target.target_id,
         watch.cause or cause,
         may_have_run=True,
-        is_bad_answer=is_bad_answer,
+        is_target_fault=is_bad_answer,
     )
--- a/src/endivevane/serving/target_health.py
+++ b/src/endivevane/serving/target_health.py
@@ -24,12 +24,12 @@
 class TargetHealth:
     """Failures and signs of life of one target, on the caller's clock.
 
-    :param heard_s: monotonic time of the last bytes from the target
+    :param last_seen_s: monotonic time of the last bytes from the target
     :param running: answers under way that have brought an event
     :param waiting: calls that have not brought an event yet
     """
 
-    heard_s: float = 0.0
+    last_seen_s: float = 0.0
     running: int = 0
     waiting: int = 0
     _busy_since_s: float = 0.0
@@ -56,14 +56,14 @@
         else:
             self.waiting -= 1
 
-    def record_heard(self, now_s: float) -> None:
+    def record_data(self, now_s: float) -> None:
         """Note bytes from the target."""
         if self.running:
-            gap_s = now_s - max(self.heard_s, self._busy_since_s)
+            gap_s = now_s - max(self.last_seen_s, self._busy_since_s)
             self._gap_s += _GAP_WEIGHT * (gap_s - self._gap_s)
-        self.heard_s = now_s
+        self.last_seen_s = now_s
 
-    def record_silence(self) -> None:
+    def record_inactivity(self) -> None:
         """Note that a call was given up for silence; the target may only be slow."""
         longest_s = _LONGEST_SILENCE_S / _SILENCE_GAPS
         self._gap_s = min(longest_s, max(self._gap_s, _SILENCE_S / _SILENCE_GAPS) * 2)
@@ -93,11 +93,11 @@
         """Whether the target has refused a request a moment ago."""
         return now_s < self._full_until_s
 
-    def is_silent(self, now_s: float) -> bool:
+    def is_unresponsive(self, now_s: float) -> bool:
         """Whether the target has said nothing although it has work."""
         if not self.running + self.waiting:
             return False
-        since_s = max(self.heard_s, self._busy_since_s)
+        since_s = max(self.last_seen_s, self._busy_since_s)
         return now_s - since_s > self._find_limit_s()
 
     def _find_limit_s(self) -> float:
--- a/src/endivevane/serving/directory.py
+++ b/src/endivevane/serving/target_registry.py
@@ -23,23 +23,23 @@
 class KnownTarget:
     """A registered target with what this daemon has seen of it.
 
-    :param gone_at_s: monotonic time at which it is dropped unless it registers again,
-        ``None`` while it is registered
-    :param has_said_leaving: whether one of its answers said that it is leaving
+    :param removal_due_s: monotonic time at which it is dropped unless it registers
+        again, ``None`` while it is registered
+    :param has_reported_draining: whether one of its answers said that it is leaving
     """
 
     target: model.Target
     health: target_health.TargetHealth
-    gone_at_s: float | None = None
-    has_said_leaving: bool = False
+    removal_due_s: float | None = None
+    has_reported_draining: bool = False
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Whether it gets no new work, by its registration or by its own answers."""
-        return self.has_said_leaving or self.target.is_leaving
+        return self.has_reported_draining or self.target.is_draining
 
 
-class Directory:
+class TargetRegistry:
     """Keeps the targets by service and by id."""
 
     def __init__(self, decode: Decoder) -> None:
@@ -55,11 +55,13 @@
         self._said_leaving = collections.deque(maxlen=_MOST_REMEMBERED)
         self._on_gone: list[abc.Callable[[model.Target], None]] = []
 
-    def call_when_gone(self, function: abc.Callable[[model.Target], None]) -> None:
+    def add_removal_callback(
+        self, function: abc.Callable[[model.Target], None]
+    ) -> None:
         """Call a function for each target that is dropped."""
         self._on_gone.append(function)
 
-    def note_store_return(self, now_s: float) -> None:
+    def record_store_recovery(self, now_s: float) -> None:
         """Give lapsed registrations time to come back after the store was away."""
         self._grace_until_s = now_s + _RETURN_GRACE_S
 
@@ -82,31 +84,31 @@
         if known is None:
             known = KnownTarget(target, target_health.TargetHealth())
             run = (target_id, target.started_ms)
-            known.has_said_leaving = run in self._said_leaving
+            known.has_reported_draining = run in self._said_leaving
             self._targets[target_id] = known
             logs.info(
                 "target_registered",
                 target=target_id,
                 service=target.service,
                 version=row.version,
-                leaving=target.is_leaving,
+                leaving=target.is_draining,
             )
-        elif known.target.is_leaving != target.is_leaving:
+        elif known.target.is_draining != target.is_draining:
             logs.info(
                 "target_changed",
                 target=target_id,
-                leaving=target.is_leaving,
+                leaving=target.is_draining,
                 version=row.version,
             )
         self._by_service[known.target.service].pop(target_id, None)
         known.target = target
-        known.gone_at_s = None
+        known.removal_due_s = None
         self._by_service[target.service][target_id] = known
 
     def drop_expired(self, now_s: float) -> None:
         """Drop the targets whose registration did not come back."""
         for target_id, known in list(self._targets.items()):
-            if known.gone_at_s is not None and now_s >= known.gone_at_s:
+            if known.removal_due_s is not None and now_s >= known.removal_due_s:
                 self._drop(target_id, "registration did not come back")
 
     def find(self, target_id: str) -> KnownTarget | None:
@@ -118,7 +120,7 @@
         return [
             known
             for known in self._by_service.get(service, {}).values()
-            if not known.is_leaving
+            if not known.is_draining
         ]
 
     def list_service(self, service: str) -> list[KnownTarget]:
@@ -129,20 +131,20 @@
         """Return every target, also those that are leaving."""
         return list(self._targets.values())
 
-    def record_leaving(self, known: KnownTarget) -> None:
+    def record_draining(self, known: KnownTarget) -> None:
         """Give a target no new work, since one of its answers said that it leaves.
 
         The mark ends with this run of the target: a later one under its id is another
         target here.
         """
-        if known.has_said_leaving:
+        if known.has_reported_draining:
             return
-        known.has_said_leaving = True
+        known.has_reported_draining = True
         self._said_leaving.append((known.target.target_id, known.target.started_ms))
         logs.info(
             "target_said_leaving",
             target=known.target.target_id,
-            registered_leaving=known.target.is_leaving,
+            registered_leaving=known.target.is_draining,
         )
 
     def record_replaced(self, target: model.Target) -> None:
@@ -154,7 +156,7 @@
         if known is None:
             return
         if now_s < self._grace_until_s:
-            known.gone_at_s = self._grace_until_s
+            known.removal_due_s = self._grace_until_s
             return
         self._drop(target_id, "registration ended")
 
--- a/src/endivevane/serving/target_answers.py
+++ b/src/endivevane/serving/target_responses.py
@@ -6,11 +6,11 @@
 
 from endivevane import logs, metrics
 from endivevane.serving import (
-    directory,
-    event_stream,
     failures,
     model,
-    target_calls,
+    sse,
+    target_client,
+    target_registry,
 )
 
 # The body of a refusal is read this long and up to this size.
@@ -18,7 +18,9 @@
 _MOST_REFUSAL_BYTES = 64 * 1024
 
 
-def check_signed(known: directory.KnownTarget, head: model.TargetReply) -> None:
+def check_signature(
+    known: target_registry.KnownTarget, head: model.TargetReply
+) -> None:
     """Check that a success carries the target's signature.
 
     :raises failures.TargetCallError: when it does not
@@ -28,29 +30,29 @@
 
 
 def make_bad_answer(
-    known: directory.KnownTarget, cause: str
+    known: target_registry.KnownTarget, cause: str
 ) -> failures.TargetCallError:
     """Return the failure of a target whose answer can't be passed on."""
     metrics.TARGET_FAULTS.labels("bad_answer").inc()
     return failures.TargetCallError(
-        known.target.target_id, cause, may_have_run=True, is_bad_answer=True
+        known.target.target_id, cause, may_have_run=True, is_target_fault=True
     )
 
 
-def split_events(
-    known: directory.KnownTarget, splitter: event_stream.EventSplitter, data: bytes
-) -> list[event_stream.Event]:
+def parse_events(
+    known: target_registry.KnownTarget, splitter: sse.EventParser, data: bytes
+) -> list[sse.Event]:
     """Return the events that are whole now.
 
     :raises failures.TargetCallError: when the bytes make no events
     """
     try:
         return splitter.feed(data)
-    except event_stream.EventTooLarge as error:
+    except sse.EventTooLarge as error:
         raise make_bad_answer(known, error.format_message()) from error
 
 
-async def drain_refusal(reply: target_calls.Answer) -> None:
+async def drain_refusal(reply: target_client.TargetResponse) -> None:
     """Read the body of a refusal, so that the connection can be kept.
 
     A body that does not end soon is left, and its connection with it.
--- a/src/endivevane/serving/placement.py
+++ b/src/endivevane/serving/target_selection.py
@@ -7,12 +7,12 @@
 from collections import abc
 
 from endivevane.serving import (
-    directory,
-    even_fill,
-    load_board,
     load_peaks,
+    load_table,
     model,
     target_health,
+    target_registry,
+    water_filling,
 )
 
 # Requests beyond its slots that a target may have waiting, so that a slot that
@@ -58,14 +58,14 @@
     regions: abc.Mapping[str, str]
 
 
-class Placement:
+class TargetSelector:
     """Compares the targets of a service by load, health and distance."""
 
     def __init__(
         self,
         location: Location,
-        targets: directory.Directory,
-        board: load_board.LoadBoard,
+        targets: target_registry.TargetRegistry,
+        board: load_table.LoadTable,
         generator: random.Random,
     ) -> None:
         self._location = location
@@ -102,7 +102,7 @@
         :param only: the targets that the request may go to, ``None`` for any
         :param zone: availability zone of the request's daemon, empty for the own one
         """
-        candidates: list[even_fill.Candidate] = []
+        candidates: list[water_filling.Candidate] = []
         usable = self._targets.list_usable(service)
         ejected = self._find_ejected(usable, now_s)
         has_near = any(
@@ -123,9 +123,9 @@
             if total >= self._find_limit(target, has_near):
                 continue
             cost = self._cost(target, total, now_s, zone)
-            candidates.append(even_fill.Candidate(target, cost))
+            candidates.append(water_filling.Candidate(target, cost))
         unknown = self._count_unknown(service, usable)
-        return even_fill.draw(candidates, unknown, self._generator)
+        return water_filling.draw(candidates, unknown, self._generator)
 
     def record_hold(self, service: str, hold_s: float) -> None:
         """Note how long a request held its place."""
@@ -152,7 +152,7 @@
         usable = self._targets.list_usable(service)
         peak_room = self._find_peak_room(service, usable)
         ejected = self._find_ejected(usable, now_s)
-        candidates: list[even_fill.Candidate] = []
+        candidates: list[water_filling.Candidate] = []
         for known in usable:
             target = known.target
             if target.target_id in ejected:
@@ -165,10 +165,10 @@
             if not has_room and not (is_urgent and _has_urgent_room(target, load)):
                 continue
             cost = self._cost(target, load.total, now_s, zone)
-            candidates.append(even_fill.Candidate(target, cost))
+            candidates.append(water_filling.Candidate(target, cost))
         # Others start items in the same moment.
         unknown = self._board.waiting_items - self._board.own_waiting_items
-        return even_fill.draw(candidates, unknown, self._generator)
+        return water_filling.draw(candidates, unknown, self._generator)
 
     def draw_batch_share(self, service: str, now_s: float, is_urgent: bool) -> int:
         """Return how many items this daemon may start of those that find places now.
@@ -182,7 +182,7 @@
         places = 0
         for known in usable:
             health = known.health
-            if health.is_paused(now_s) or health.is_silent(now_s):
+            if health.is_paused(now_s) or health.is_unresponsive(now_s):
                 continue
             if known.target.target_id in ejected:
                 continue
@@ -194,7 +194,7 @@
         own = self._board.own_waiting_items
         return self._round(places * own / max(1, own, self._board.waiting_items))
 
-    def count_to_yield(self, target: model.Target, items: int | None = None) -> int:
+    def count_to_preempt(self, target: model.Target, items: int | None = None) -> int:
         """Return how many batch items should leave a target for online requests.
 
         The daemons with batch items there share what has to leave; parts of an item
@@ -216,7 +216,7 @@
     def has_targets(self, service: str, now_s: float) -> bool:
         """Whether any target of a service may get work now or after a pause."""
         return any(
-            not known.health.is_silent(now_s)
+            not known.health.is_unresponsive(now_s)
             for known in self._targets.list_usable(service)
         )
 
@@ -239,7 +239,7 @@
         return whole
 
     def _find_ejected(
-        self, usable: abc.Sequence[directory.KnownTarget], now_s: float
+        self, usable: abc.Sequence[target_registry.KnownTarget], now_s: float
     ) -> abc.Set[str]:
         """Return the targets that get no work, since so many of their answers fail."""
         outcomes = self._board.outcomes
@@ -253,7 +253,7 @@
         return ejected
 
     def _find_peak_room(
-        self, service: str, usable: abc.Sequence[directory.KnownTarget]
+        self, service: str, usable: abc.Sequence[target_registry.KnownTarget]
     ) -> float | None:
         """Return the share of slots that online leaves free even at its peak.
 
@@ -275,7 +275,7 @@
         return room
 
     def _count_batch_room(
-        self, target: model.Target, load: load_board.Load, peak_room: float | None
+        self, target: model.Target, load: load_table.Load, peak_room: float | None
     ) -> int:
         """Return how many more items fit where online requests need no room now."""
         free = max(1, target.slots - _BATCH_RESERVE) - load.total
@@ -292,7 +292,7 @@
         limit = target.slots + _QUEUE_AHEAD
         if not has_near or not self._is_far(target):
             return limit
-        reserve = int(_FAR_RESERVE_PER_S * self._board.far_age_s)
+        reserve = int(_FAR_RESERVE_PER_S * self._board.cross_region_age_s)
         return limit - min(reserve, target.slots // 2)
 
     def _is_far(self, target: model.Target) -> bool:
@@ -301,7 +301,7 @@
         return region != self._location.region
 
     def _count_unknown(
-        self, service: str, usable: abc.Sequence[directory.KnownTarget]
+        self, service: str, usable: abc.Sequence[target_registry.KnownTarget]
     ) -> float:
         """Return how many requests others have placed that are not known here yet.
 
@@ -310,26 +310,28 @@
         online = sum(
             self._board.total(known.target.target_id).online for known in usable
         )
-        return online * self._board.near_age_s / self.find_hold_s(service)
+        return online * self._board.same_region_age_s / self.find_hold_s(service)
 
     def _cost(self, target: model.Target, total: int, now_s: float, zone: str) -> float:
         cost = (total + 1) / target.slots
-        failed_share = self._board.outcomes.find_failed_share(target.target_id, now_s)
+        failed_share = self._board.outcomes.find_failure_rate(target.target_id, now_s)
         cost += _FAILED_COST * failed_share
         if target.availability_zone != (zone or self._location.availability_zone):
             cost += _OTHER_ZONE_COST
             if self._is_far(target):
-                cost += _FAR_COST + _FAR_COST_PER_S * self._board.far_age_s
+                cost += _FAR_COST + _FAR_COST_PER_S * self._board.cross_region_age_s
         return cost
 
 
 def _may_get_work(health: target_health.TargetHealth, now_s: float) -> bool:
     """Whether this daemon has seen nothing against a target a moment ago."""
     return not (
-        health.is_paused(now_s) or health.is_full(now_s) or health.is_silent(now_s)
+        health.is_paused(now_s)
+        or health.is_full(now_s)
+        or health.is_unresponsive(now_s)
     )
 
 
-def _has_urgent_room(target: model.Target, load: load_board.Load) -> bool:
+def _has_urgent_room(target: model.Target, load: load_table.Load) -> bool:
     """Whether a target has one of the places for urgent items free."""
     return load.batch < URGENT_PLACES and load.total < target.slots + _QUEUE_AHEAD
