--- a/features/misbehaving_targets.feature
+++ b/features/misbehaving_targets.feature
@@ -1,13 +1,13 @@
-Feature: Targets that leave, break HTTP or answer the wrong request
+Feature: Targets that drain, violate HTTP or respond to the wrong request
 
-  # Guards against requests that reach a target after one of its answers, of whatever
-  # kind, has said that it leaves; no store is asked here at all.
-  Scenario Outline: A target that says that it leaves gets no more requests
+  # Guards against requests to a target after any kind of response has reported that it
+  # is draining. The store plays no part in this.
+  Scenario Outline: A target that reports that it is draining gets no more requests
     Given 2 targets behind a daemon with a resumable route
-    And the first target says that it leaves, in <answer>
-    When 12 clients ask for a stream one after the other
-    Then the first target has had at most 1 request
-    And all of them get 6 events
+    And the first target reports that it is draining, in <answer>
+    When 12 clients request a stream one after the other
+    Then the first target has received at most 1 request
+    And each client receives 6 events
 
     Examples:
       | answer                 |
@@ -15,11 +15,11 @@
       | a refusal              |
       | an answer that is cut  |
 
-  # Guards against a mark that is lost when a registration lapses and comes back, and
-  # against one that outlives the run of the target that it belongs to.
-  Scenario Outline: The mark of a leaving target belongs to one run of it
-    Given a target that has said that it leaves
-    When its registration lapses and comes back <how>
+  # Guards against losing the draining state when a registration expires and returns, and
+  # against keeping it for the next incarnation of the target.
+  Scenario Outline: The draining state belongs to one incarnation of a target
+    Given a target that has reported that it is draining
+    When its registration expires and returns <how>
     Then the target gets <work>
 
     Examples:
@@ -27,24 +27,24 @@
       | unchanged            | no work    |
       | with a later start   | work again |
 
-  # Guards against a request that is sent to a target which it chose before the target
-  # said that it leaves.
-  Scenario: A request that waits for a place does not go to a target that leaves
+  # Guards against sending a request to a target that was selected before it reported
+  # that it is draining.
+  Scenario: A request that waits for a slot is not sent to a draining target
     Given 2 targets behind a daemon with a resumable route
-    And the first target says that it leaves, in a whole answer
-    When 30 clients ask for a stream at the same time, after one of them
-    Then all of them get 6 events
-    And the first target has had at most 1 request
-
-  # Guards against a daemon whose memory fills up, or a request that waits until its time
-  # is over or the target counts as silent, while a target sends bytes that are no answer.
-  Scenario Outline: Bytes without end that are no answer are left
+    And the first target reports that it is draining, in a whole answer
+    When 30 clients request a stream together, once the first target has served one
+    Then each client receives 6 events
+    And the first target has received at most 1 request
+
+  # Guards against unbounded memory use, and against waiting until the deadline or the
+  # inactivity limit, while a target sends bytes that are no valid response.
+  Scenario Outline: An endless invalid response is abandoned
     Given 2 targets behind a daemon with a resumable route
-    And each target's first answer is a flood in <where>
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
+    And each target's first response is a flood in <where>
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
     And it took less than 1 s
-    And no target has sent more than 4 MB of a flood
+    And no target has sent more than 4 MB of flood data
 
     Examples:
       | where                    |
@@ -54,36 +54,36 @@
       | the body of a refusal    |
       | an event                 |
 
-  # Guards against a stream that is kept open by single bytes while no event comes.
-  Scenario: A stream whose events stop goes on elsewhere although bytes come
+  # Guards against a stream that single bytes keep open while no event is completed.
+  Scenario: A stalled stream resumes on another target although bytes arrive
     Given 2 targets behind a daemon with a resumable route
-    And the first stream sends single bytes behind 3 events
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
+    And the first stream sends single bytes after 3 events
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
     And it took less than 2 s
 
-  # Guards against sound streams that are cut for being slow.
-  Scenario: A slow stream is not cut
+  # Guards against aborting healthy streams that are slow.
+  Scenario: A slow stream is not aborted
     Given 2 targets behind a daemon with a resumable route
-    And each target makes an event every 400 ms
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
-    And the targets have run it 1 times
+    And each target sends an event every 400 ms
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
+    And the request has run 1 times
 
-  # Guards against slow streams that are taken for silent ones again and again.
-  Scenario: A stream slower than usual silence goes on
+  # Guards against taking the target of a slow stream for unresponsive again and again.
+  Scenario: A stream with long gaps between its events is completed
     Given 1 targets behind a daemon with a resumable route
     And the route's timeout is 9 s
-    And each target makes an event every 700 ms
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
-    And the targets have run it at most 3 times
+    And each target sends an event every 700 ms
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
+    And the request has run at most 3 times
 
-  # Guards against success that the target has not signed.
-  Scenario Outline: A success without a signature is not passed on
+  # Guards against a success status that does not come from the target.
+  Scenario Outline: A success without a signature is not relayed
     Given 1 targets behind a daemon with a route that may not be resumed
-    And the target leaves out its signature and answers with <body>
-    When a client asks for a stream
+    And the target omits its signature and responds with <body>
+    When a client requests a stream
     Then the answer has status 502
 
     Examples:
@@ -91,52 +91,53 @@
       | a stream |
       | a length |
 
-  # Guards against the second half of one answer behind the first half of another one.
-  Scenario: A large answer that breaks off is not completed by another one
+  # Guards against joining the halves of two responses.
+  Scenario: A large response that breaks off is not completed by another one
     Given 2 targets behind a daemon with a route that may be repeated
-    And each target closes behind half of its first answer of 3 MB
-    When a client asks for a stream
-    Then the answer is not whole and belongs to one target
-    And the targets have run it 1 times
+    And each target closes half-way through its first response of 3 MB
+    When a client requests a stream
+    Then the response is incomplete and comes from one target
+    And the request has run 1 times
 
-  # Guards against a torn event that is passed on as the end of a stream.
-  Scenario: A stream that is closed in the middle of an event goes on elsewhere
+  # Guards against relaying a partial event as the end of a stream.
+  Scenario: A stream that is closed in the middle of an event resumes on another target
     Given 2 targets behind a daemon with a resumable route
     And the first stream is closed in the middle of its last event
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
 
-  Scenario: A stream that is closed in the middle of an event and can't go on has no end
+  Scenario: A non-resumable stream closed in the middle of an event stays incomplete
     Given 1 targets behind a daemon with a route that may not be resumed
     And the first stream is closed in the middle of its last event
-    When a client asks for a stream
-    Then it gets 5 events and no end
+    When a client requests a stream
+    Then it receives 5 events but not the end
 
-  # Guards against an orderly close that a client of HTTP/1.0 takes for the end.
-  Scenario: A broken answer fails at a client that knows no chunks
+  # Without chunked encoding, an orderly close marks the end of a complete response.
+  # Guards against a truncated response that looks complete.
+  Scenario: A broken response to an HTTP/1.0 client ends with a reset
     Given 1 targets behind a daemon with a route that may not be resumed
     And each target's first stream is cut behind 3 events
-    When a client of HTTP/1.0 asks for a stream
+    When an HTTP/1.0 client requests a stream
     Then its connection is reset
 
-  # Guards against a late copy of a refusal that is taken for the answer to the same
-  # attempt, which by then runs: it would run twice, or be said not to have run.
-  Scenario: A second copy of a refusal is not taken for a new one
+  # Guards against taking a late copy of a refusal for the response to a retry of the
+  # same attempt: the request would run twice, or be reported as not run.
+  Scenario: A duplicate refusal is not taken for a new one
     Given 1 targets behind a daemon with a route that may not be resumed
     And the target refuses one request and sends the refusal again later
-    When a client asks for a stream
-    Then the targets have run it 1 times
-    And it gets each of the 6 events once, in order, and the end
+    When a client requests a stream
+    Then the request has run 1 times
+    And it receives each of the 6 events once, in order, and the end
 
-  # Guards against the answer to another request that is passed on as this one's.
-  Scenario: A late answer to another request is passed to nobody
+  # Guards against relaying the response to another request.
+  Scenario: A late response to another request is discarded
     Given 1 targets behind a daemon with a route that may be repeated
-    And the target answers with a length, and late once more where the next one is due
-    When 4 clients ask for a stream one after the other
-    Then all of them get the body that the target made for them
+    And the target responds with a length, and sends an extra response before the next one
+    When 4 clients request a stream one after the other
+    Then each client receives the response to its own request
 
-  # Guards against bytes that fill the memory behind idle connections.
-  Scenario: A connection on which bytes come unasked is closed
+  # Guards against unbounded buffers on idle connections.
+  Scenario: An idle connection that receives unexpected bytes is closed
     Given an idle connection to a target
-    When the target sends bytes on it
-    Then the connection is closed and none of the bytes are kept
+    When the target sends bytes on the connection
+    Then the connection is closed and none of the bytes are buffered
--- a/features/serving_online.feature
+++ b/features/serving_online.feature
@@ -1,19 +1,19 @@
-Feature: A client gets the whole answer to its own request, or the truth about it
+Feature: Online requests get a complete response or a correct error
 
-  Scenario: A stream is passed on event by event with the target's signature
+  Scenario: A stream is relayed event by event with the target's signature
     Given 2 targets behind a daemon with a resumable route
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
-    And it has the signature of a target that ran it
-    And the targets have run it once with the client's path and body
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
+    And the response has the signature of a target that ran the request
+    And the request has run once, with the client's path and body
 
-  # Guards against lost, repeated or joined pieces when a target breaks off.
-  Scenario Outline: A broken stream goes on at the next event of another target
+  # Guards against lost, duplicate or joined events when a target breaks off.
+  Scenario Outline: A broken stream resumes on another target at the next event
     Given 2 targets behind a daemon with a resumable route
     And each target's first stream is <cut>
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
-    And the second run began behind the events that the client had
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
+    And the second run resumed after the events that the client had
 
     Examples:
       | cut                              |
@@ -21,39 +21,39 @@
       | cut in the middle of the 4th     |
       | cut before its first event       |
 
-  # Guards against a truncated answer that looks whole, and against a second run.
-  Scenario: A broken stream that may not be resumed ends without its end
+  # Guards against a truncated response that looks complete, and against a second run.
+  Scenario: A broken stream that may not be resumed stays incomplete
     Given 2 targets behind a daemon with a route that may not be resumed
     And each target's first stream is cut behind 3 events
-    When a client asks for a stream
-    Then it gets 3 events and no end
-    And the targets have run it once with the client's path and body
+    When a client requests a stream
+    Then it receives 3 events but not the end
+    And the request has run once, with the client's path and body
 
-  # Guards against a second run of what must run once.
-  Scenario Outline: A request that may have run is sent again only where that is allowed
+  # Guards against a second run of a request that is not idempotent.
+  Scenario Outline: A request that may have run is retried only where that is allowed
     Given 2 targets behind a daemon with <route>
     And each target reads its first request and closes the connection
-    When a client asks for a stream
+    When a client requests a stream
     Then the answer has status <status>
-    And the targets have run it <runs> times
+    And the request has run <runs> times
 
     Examples:
       | route                             | status | runs |
       | a route that may not be resumed   | 502    | 1    |
       | a resumable route                 | 502    | 2    |
 
-  # Guards against refusals that are passed on although others have room.
-  Scenario: What a target has not run goes to another one
+  # Guards against relaying a refusal while another target has free slots.
+  Scenario: A refused request is sent to another target
     Given 2 targets behind a daemon with a route that may not be resumed
     And the first target refuses its next 3 requests
-    When 6 clients ask for a stream one after the other
-    Then all of them get 6 events
+    When 6 clients request a stream one after the other
+    Then each client receives 6 events
 
-  # Guards against a status that promises more than is known.
-  Scenario Outline: A status that promises too much is not passed on
+  # Guards against telling the client that its request has not run when it may have.
+  Scenario Outline: A status that claims that the request has not run is replaced
     Given 1 targets behind a daemon with a route that may not be resumed
     And the target answers with status <given>
-    When a client asks for a stream
+    When a client requests a stream
     Then the answer has status <passed>
 
     Examples:
@@ -63,99 +63,99 @@
       | 500   | 500    |
       | 404   | 404    |
 
-  # Guards against an answer that goes to the request after the one it belongs to.
-  Scenario: A second answer on a kept connection reaches nobody
+  # Guards against relaying a response to the request after its own.
+  Scenario: A second response on a reused connection is discarded
     Given 1 targets behind a daemon with a resumable route
-    And the target sends a second answer behind each whole one
-    When 4 clients ask for a stream one after the other
-    Then all of them get 6 events
+    And the target sends a second response after each complete one
+    When 4 clients request a stream one after the other
+    Then each client receives 6 events
 
-  # Guards against an answer to a former request that is taken for the next one's.
-  Scenario: A foreign answer where the next one is due is passed to nobody
+  # Guards against taking the response to an earlier request for that to the next one.
+  Scenario: A response to another request is discarded
     Given 1 targets behind a daemon with a resumable route
-    And the target sends a second answer where the next one is due
-    When 4 clients ask for a stream one after the other
-    Then all of them get 6 events
+    And the target sends an extra response before the next one
+    When 4 clients request a stream one after the other
+    Then each client receives 6 events
 
-  # Guards against work for clients that are gone.
-  Scenario: A client that leaves frees the target within half a second
+  # Guards against work for clients that have disconnected.
+  Scenario: A client that disconnects frees the target within half a second
     Given 1 targets behind a daemon with a resumable route
-    And the target makes an event every 200 ms
-    When a client asks for a stream and leaves after 300 ms
+    And the target sends an event every 200 ms
+    When a client requests a stream and disconnects after 300 ms
     Then within 500 ms the target has cancelled its run
-    And no request is counted on the target
+    And the target has no recorded load
 
-  # Guards against work for a client that is gone before there is anything to send it.
-  Scenario: A client that leaves before the first event frees the target too
+  # Guards against work for a client that has disconnected before the response started.
+  Scenario: A client that disconnects before the first event frees the target too
     Given 1 targets behind a daemon with a resumable route
-    And the target takes 900 ms before it answers
-    When a client asks for a stream and leaves after 300 ms
+    And the target responds after 900 ms
+    When a client requests a stream and disconnects after 300 ms
     Then within 500 ms the target has cancelled its run
-    And no request is counted on the target
+    And the target has no recorded load
 
-  # Guards against requests that outlive the operator's limit.
+  # Guards against requests that exceed the operator's timeout.
   Scenario: A request ends at the timeout of its route
     Given 1 targets behind a daemon with a route of 400 ms timeout
-    And the target reads requests and says nothing
-    When a client asks for a stream
+    And the target reads requests but never responds
+    When a client requests a stream
     Then the answer has status 504
-    And it came between 380 and 650 ms after the request
+    And it arrived between 380 and 650 ms after the request
 
-  # Guards against waiting for a target that has gone dark.
-  Scenario: A stream leaves a target that goes silent
+  # Guards against waiting for an unresponsive target.
+  Scenario: A stream resumes on another target when its target is unresponsive
     Given 2 targets behind a daemon with a resumable route
-    When a client asks for a stream whose target stops sending in the middle
-    Then it gets each of the 6 events once, in order, and the end
+    When a client requests a stream whose target stops sending half-way
+    Then it receives each of the 6 events once, in order, and the end
     And it took less than 2 s
 
-  # Guards against blame on a target that dropped a connection while it was idle, and
-  # against a request that must run once and goes out on such a connection.
-  Scenario Outline: A target may drop a kept connection without notice
+  # Guards against counting the close of an idle connection as a failure of the target,
+  # and against sending a request that must run once on such a connection.
+  Scenario Outline: A target may close an idle connection without notice
     Given 1 targets behind a daemon with <route>
-    And the target resets kept connections when something is sent on them
-    When 3 clients ask for a stream, one every <pause> ms
-    Then all of them get 6 events
-    And the target is not held to be failing
+    And the target resets reused connections when a request is sent on them
+    When 3 clients request a stream, one every <pause> ms
+    Then each client receives 6 events
+    And the target is not marked as failing
 
     Examples:
       | route                             | pause |
       | a resumable route                 | 10    |
       | a route that may not be resumed   | 400   |
 
-  # Guards against a send to whoever has a former target's address.
-  Scenario: A target whose address has another target gets no more work
+  # Guards against sending requests to the new owner of a former target's address.
+  Scenario: A target whose address belongs to another target gets no more requests
     Given 2 targets behind a daemon with a route that may not be resumed
     And the first target is replaced by another one at its address
-    When 6 clients ask for a stream at the same time
-    Then all of them get 6 events
-    And the replaced target is no longer known
+    When 6 clients request a stream at the same time
+    Then each client receives 6 events
+    And the replaced target is no longer registered
 
-  # Guards against 404 for what a configuration may allow.
-  Scenario: A daemon without a configuration says that it has not run the request
+  # Guards against a 404 for a path that the configuration may define.
+  Scenario: A daemon without a configuration reports that the request has not run
     Given a daemon without a configuration
-    When a client asks for a stream
+    When a client requests a stream
     Then the answer has status 503
-    And the answer says when to come back
+    And the response has a Retry-After header
 
-  # Pattern: all daemons start again while requests come.
-  # Guards against refusals by a process that would know its targets a moment later.
-  Scenario: A request that meets a daemon which is just starting waits a little
+  # All daemons restart under load. Guards against refusals by a daemon that is about to
+  # load its targets.
+  Scenario: A request to a daemon that is starting waits for the configuration
     Given 2 targets behind a daemon with a resumable route
-    And the daemon learns its configuration 300 ms after it began to listen
-    When a client asks for a stream
-    Then it gets each of the 6 events once, in order, and the end
+    And the daemon loads its configuration 300 ms after it started to listen
+    When a client requests a stream
+    Then it receives each of the 6 events once, in order, and the end
 
   Scenario: A path without a route is not found
     Given 1 targets behind a daemon with a resumable route
-    When a client asks for the path "/other/1"
+    When a client requests the path "/other/1"
     Then the answer has status 404
 
-  # Guards against requests smuggled inside others and against endless input.
-  Scenario Outline: Input that is no proper request is refused
+  # Guards against request smuggling and against unbounded input.
+  Scenario Outline: Malformed and oversized requests are rejected
     Given 1 targets behind a daemon with a resumable route
     When a client sends <input>
     Then the answer has status <status>
-    And the targets have run nothing
+    And no target has run a request
 
     Examples:
       | input                              | status |
@@ -164,8 +164,8 @@
       | headers of 6000 bytes              | 431    |
       | a body of 200000 bytes             | 413    |
 
-  # Guards against a connection that is closed under a request that was read.
-  Scenario: Several requests on one connection are answered in order
+  # Guards against closing a connection on which another request has been read.
+  Scenario: Pipelined requests get their responses in order
     Given 1 targets behind a daemon with a resumable route
-    When a client sends 3 requests at once on one connection
-    Then it gets 3 answers, each with the events of its own request
+    When a client pipelines 3 requests on one connection
+    Then it receives 3 responses, each with the events of its own request
--- a/features/steps/misbehaving_targets_steps.py
+++ b/features/steps/misbehaving_targets_steps.py
@@ -17,8 +17,8 @@
 }
 
 
-@given("the first target says that it leaves, in {answer}")
-def step_leaving(context, answer):
+@given("the first target reports that it is draining, in {answer}")
+def step_draining(context, answer):
     manner = {
         "a whole answer": {},
         "a refusal": {"refuse": 100},
@@ -27,16 +27,18 @@
     serving_world.prepare_first(context, leaving=True, **manner)
 
 
-@then("the first target has had at most {most:d} request")
-def step_few(context, most):
+@then("the first target has received at most {most:d} request")
+def step_few_requests(context, most):
     first = context.world.replicas["a"]
     assert len(first.runs) + first.refused <= most, (first.runs, first.refused)
 
 
-@when("{count:d} clients ask for a stream at the same time, after one of them")
+@when(
+    "{count:d} clients request a stream together, once the first target has served one"
+)
 def step_after_one(context, count):
     async def play(world):
-        # Whichever target the first ones meet, the leaving one has answered then.
+        # Ends once the draining target has responded to one of the requests.
         replies = []
         number = 0
         while not world.replicas["a"].runs:
@@ -47,43 +49,43 @@
             serving_world.make_request(attempt=f"attempt{number + each}")
             for each in range(count)
         ]
-        asked = [
+        calls = [
             serving_world.send_request(world.port, request) for request in requests
         ]
-        return replies + await asyncio.gather(*asked)
+        return replies + await asyncio.gather(*calls)
 
     context.replies = serving_world.play(context, play)
 
 
-@given("a target that has said that it leaves")
-def step_said(context):
+@given("a target that has reported that it is draining")
+def step_reported_draining(context):
     context.targets = {"t0": serving_fakes.make_target("t0", born=1)}
-    context.directory = target_registry.TargetRegistry(
+    context.registry = target_registry.TargetRegistry(
         lambda key, _value: context.targets[key]
     )
     row = serving_fakes.make_row("t0", b"x", 1)
-    context.directory.apply(row, 0.0)
-    context.directory.record_draining(context.directory.find("t0"))
+    context.registry.apply(row, 0.0)
+    context.registry.record_draining(context.registry.find("t0"))
 
 
-@when("its registration lapses and comes back {how}")
-def step_lapse(context, how):
-    context.directory.apply(serving_fakes.make_row("t0", None, 2), 1.0)
+@when("its registration expires and returns {how}")
+def step_expire(context, how):
+    context.registry.apply(serving_fakes.make_row("t0", None, 2), 1.0)
     if how == "with a later start":
         context.targets["t0"] = dataclasses.replace(context.targets["t0"], started_ms=2)
-    context.directory.apply(serving_fakes.make_row("t0", b"x", 3), 2.0)
+    context.registry.apply(serving_fakes.make_row("t0", b"x", 3), 2.0)
 
 
 @then("the target gets {work}")
 def step_gets(context, work):
-    usable = context.directory.list_usable("lm")
+    usable = context.registry.list_usable("lm")
     assert bool(usable) == (work == "work again"), usable
 
 
-@given("each target's first answer is a flood in {where}")
+@given("each target's first response is a flood in {where}")
 def step_flood(context, where):
     def prepare(world):
-        # The first of the two that is asked floods, the other one answers.
+        # The target that gets the first request floods, the other one responds.
         shared = replica.Manner(flood=_FLOODS[where], floods=1)
         for item in world.replicas.values():
             item.manner = shared
@@ -91,15 +93,15 @@
     context.prepare.append(prepare)
 
 
-@then("no target has sent more than {most:d} MB of a flood")
+@then("no target has sent more than {most:d} MB of flood data")
 def step_flooded(context, most):
     sent = [item.flooded_bytes for item in context.world.replicas.values()]
     assert max(sent) > 0, "nothing was flooded"
-    # Buffers of the system hold some MB on both sides.
+    # The socket buffers of the kernel hold some MB on both sides.
     assert max(sent) <= most * 1_000_000, sent
 
 
-@given("the first stream sends single bytes behind {events:d} events")
+@given("the first stream sends single bytes after {events:d} events")
 def step_drip(context, events):
     def prepare(world):
         shared = replica.Manner(drip_after=events, drips=1)
@@ -109,28 +111,28 @@
     context.prepare.append(prepare)
 
 
-@given("each target makes an event every {gap_ms:d} ms")
+@given("each target sends an event every {gap_ms:d} ms")
 def step_all_slow(context, gap_ms):
     serving_world.prepare_all(context, gap_s=gap_ms / 1000)
 
 
-@given("the target leaves out its signature and answers with {body}")
+@given("the target omits its signature and responds with {body}")
 def step_unsigned(context, body):
     serving_world.prepare_first(context, unsigned=True, plain=body == "a length")
 
 
-@given("each target closes behind half of its first answer of {size_mb:d} MB")
+@given("each target closes half-way through its first response of {size_mb:d} MB")
 def step_large_cut(context, size_mb):
     serving_world.prepare_all(
         context, plain=True, plain_bytes=size_mb * 1_000_000, plain_cut=1
     )
 
 
-@then("the answer is not whole and belongs to one target")
+@then("the response is incomplete and comes from one target")
 def step_not_joined(context):
     reply = context.reply
     assert not reply.is_complete, len(reply.body)
-    # Half of one answer at most: more would be the bytes of two.
+    # More than half of a response would have to come from both targets.
     assert len(reply.body) <= 1_500_000, len(reply.body)
 
 
@@ -144,7 +146,7 @@
     context.prepare.append(prepare)
 
 
-@when("a client of HTTP/1.0 asks for a stream")
+@when("an HTTP/1.0 client requests a stream")
 def step_old_client(context):
     async def play(world):
         reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -176,8 +178,8 @@
     context.sent = b"x" * 100_000
 
 
-@when("the target sends bytes on it")
-def step_unasked(context):
+@when("the target sends bytes on the connection")
+def step_unexpected_bytes(context):
     async def run():
         received = asyncio.Event()
         writers = []
@@ -210,8 +212,8 @@
     asyncio.run(run())
 
 
-@then("the connection is closed and none of the bytes are kept")
-def step_unasked_closed(context):
+@then("the connection is closed and none of the bytes are buffered")
+def step_idle_closed(context):
     assert not context.is_usable
     assert not context.has_unread
 
@@ -221,17 +223,19 @@
     context.configuration["routes"][0]["timeoutMs"] = timeout_s * 1000
 
 
-@then("the targets have run it at most {most:d} times")
+@then("the request has run at most {most:d} times")
 def step_few_runs(context, most):
     assert len(context.world.runs) <= most, context.world.runs
 
 
-@given("the target answers with a length, and late once more where the next one is due")
+@given(
+    "the target responds with a length, and sends an extra response before the next one"
+)
 def step_late_plain(context):
     serving_world.prepare_first(context, plain=True, extra_late=True)
 
 
-@then("all of them get the body that the target made for them")
+@then("each client receives the response to its own request")
 def step_own_body(context):
     for number, reply in enumerate(context.replies):
         assert reply.body == b"plain body", (number, reply)
--- a/features/steps/serving_online_steps.py
+++ b/features/steps/serving_online_steps.py
@@ -37,7 +37,7 @@
     }
 
     def prepare(world):
-        # The first of the two that is asked is cut, the other one goes on.
+        # The target that gets the first request is cut, the other one resumes.
         shared = replica.Manner(cuts=1, **manners[cut])
         for item in world.replicas.values():
             item.manner = shared
@@ -46,7 +46,7 @@
 
 
 @given("each target reads its first request and closes the connection")
-def step_drop(context):
+def step_close_first(context):
     serving_world.prepare_all(context, drop=1)
 
 
@@ -60,33 +60,33 @@
     serving_world.prepare_first(context, status=status)
 
 
-@given("the target sends a second answer behind each whole one")
-def step_extra(context):
+@given("the target sends a second response after each complete one")
+def step_second_response(context):
     serving_world.prepare_first(context, extra=True)
 
 
-@given("the target resets kept connections when something is sent on them")
+@given("the target resets reused connections when a request is sent on them")
 def step_reset_kept(context):
     serving_world.prepare_first(context, reset_kept=True)
 
 
-@given("the target sends a second answer where the next one is due")
-def step_extra_late(context):
+@given("the target sends an extra response before the next one")
+def step_extra_response(context):
     serving_world.prepare_first(context, extra_late=True)
 
 
-@given("the target makes an event every {gap_ms:d} ms")
-def step_slow(context, gap_ms):
+@given("the target sends an event every {gap_ms:d} ms")
+def step_event_interval(context, gap_ms):
     serving_world.prepare_first(context, gap_s=gap_ms / 1000)
 
 
-@given("the target takes {first_ms:d} ms before it answers")
-def step_slow_start(context, first_ms):
+@given("the target responds after {first_ms:d} ms")
+def step_response_delay(context, first_ms):
     serving_world.prepare_first(context, first_s=first_ms / 1000)
 
 
-@given("the target reads requests and says nothing")
-def step_silent(context):
+@given("the target reads requests but never responds")
+def step_no_response(context):
     serving_world.prepare_first(context, silent=True)
 
 
@@ -98,23 +98,23 @@
     context.prepare.append(prepare)
 
 
-@given("the daemon learns its configuration {late_ms:d} ms after it began to listen")
+@given("the daemon loads its configuration {late_ms:d} ms after it started to listen")
 def step_late_configuration(context, late_ms):
     def prepare(world):
-        table, world.door.table = world.door.table, None
-        world.door.is_ready.clear()
+        table, world.router.table = world.router.table, None
+        world.router.is_ready.clear()
 
-        def learn():
-            world.door.table = table
-            world.door.is_ready.set()
+        def load():
+            world.router.table = table
+            world.router.is_ready.set()
 
-        asyncio.get_running_loop().call_later(late_ms / 1000, learn)
+        asyncio.get_running_loop().call_later(late_ms / 1000, load)
 
     context.prepare.append(prepare)
 
 
-@when("a client asks for a stream")
-def step_ask(context):
+@when("a client requests a stream")
+def step_request(context):
     context.reply = serving_world.play(
         context,
         lambda world: serving_world.send_request(
@@ -123,16 +123,16 @@
     )
 
 
-@when('a client asks for the path "{path}"')
-def step_ask_path(context, path):
+@when('a client requests the path "{path}"')
+def step_request_path(context, path):
     request = serving_world.make_request(path=path)
     context.reply = serving_world.play(
         context, lambda world: serving_world.send_request(world.port, request)
     )
 
 
-@when("{count:d} clients ask for a stream one after the other")
-def step_ask_many(context, count):
+@when("{count:d} clients request a stream one after the other")
+def step_request_in_turn(context, count):
     async def play(world):
         replies = []
         for number in range(count):
@@ -143,23 +143,23 @@
     context.replies = serving_world.play(context, play)
 
 
-@when("{count:d} clients ask for a stream at the same time")
-def step_ask_together(context, count):
+@when("{count:d} clients request a stream at the same time")
+def step_request_together(context, count):
     async def play(world):
         requests = [
             serving_world.make_request(attempt=f"attempt{number}")
             for number in range(count)
         ]
-        asked = [
+        calls = [
             serving_world.send_request(world.port, request) for request in requests
         ]
-        return await asyncio.gather(*asked)
+        return await asyncio.gather(*calls)
 
     context.replies = serving_world.play(context, play)
 
 
-@when("{count:d} clients ask for a stream, one every {pause_ms:d} ms")
-def step_ask_at_intervals(context, count, pause_ms):
+@when("{count:d} clients request a stream, one every {pause_ms:d} ms")
+def step_request_at_intervals(context, count, pause_ms):
     async def play(world):
         replies = []
         for number in range(count):
@@ -171,54 +171,54 @@
     context.replies = serving_world.play(context, play)
 
 
-@then("the target is not held to be failing")
+@then("the target is not marked as failing")
 def step_not_failing(context):
     now_s = time.monotonic()
-    known = context.world.directory.find("a")
+    known = context.world.registry.find("a")
     assert not known.health.is_paused(now_s)
-    assert context.world.board.outcomes.find_failure_rate("a", now_s) == 0.0
+    assert context.world.loads.outcomes.find_failure_rate("a", now_s) == 0.0
 
 
 def _expect(attempt, count):
     return b"".join(replica.make_event(attempt, n) for n in range(1, count + 1))
 
 
-@then("it gets each of the {count:d} events once, in order, and the end")
-def step_whole(context, count):
+@then("it receives each of the {count:d} events once, in order, and the end")
+def step_complete(context, count):
     assert context.reply.status == 200, context.reply
     assert context.reply.body == _expect("abc", count), context.reply
     assert context.reply.is_complete
 
 
-@then("it gets {count:d} events and no end")
+@then("it receives {count:d} events but not the end")
 def step_truncated(context, count):
     assert context.reply.body == _expect("abc", count), context.reply
     assert not context.reply.is_complete
 
 
-@then("it has the signature of a target that ran it")
+@then("the response has the signature of a target that ran the request")
 def step_signature(context):
     expected = [f"sig-{name}-abc" for name in context.names]
     assert context.reply.headers["response-signature"] in expected
 
 
-@then("the targets have run it once with the client's path and body")
+@then("the request has run once, with the client's path and body")
 def step_run_once(context):
     (run,) = context.world.runs
     assert (run.path, run.body) == ("/quote/1", b"hello"), run
 
 
-@then("the targets have run it {count:d} times")
+@then("the request has run {count:d} times")
 def step_run_times(context, count):
     assert len(context.world.runs) == count, context.world.runs
 
 
-@then("the targets have run nothing")
+@then("no target has run a request")
 def step_run_nothing(context):
     assert not context.world.runs
 
 
-@then("the second run began behind the events that the client had")
+@then("the second run resumed after the events that the client had")
 def step_resumed(context):
     starts = sorted(run.last_event for run in context.world.runs)
     cut_after = next(iter(context.world.replicas.values())).manner.cut_after
@@ -230,32 +230,32 @@
     assert context.reply.status == status, context.reply
 
 
-@then("all of them get {count:d} events")
-def step_all_whole(context, count):
+@then("each client receives {count:d} events")
+def step_all_complete(context, count):
     for number, reply in enumerate(context.replies):
         assert reply.body == _expect(f"attempt{number}", count), (number, reply)
         assert reply.is_complete
 
 
-@then("the answer says when to come back")
+@then("the response has a Retry-After header")
 def step_retry_after(context):
     assert float(context.reply.headers["retry-after"]) > 0
 
 
-@when("a client asks for a stream and leaves after {left_ms:d} ms")
-def step_leave(context, left_ms):
+@when("a client requests a stream and disconnects after {left_ms:d} ms")
+def step_disconnect(context, left_ms):
     async def play(world):
         _, writer = await asyncio.open_connection("127.0.0.1", world.port)
         writer.write(serving_world.make_request())
         await asyncio.sleep(left_ms / 1000)
         writer.close()
-        left_s = time.monotonic()
-        while time.monotonic() < left_s + 0.5:
+        disconnected_s = time.monotonic()
+        while time.monotonic() < disconnected_s + 0.5:
             await asyncio.sleep(0.02)
             if world.runs and world.runs[0].ended == "cancelled":
                 break
         context.ended = world.runs[0].ended
-        context.loads = dict(world.board.own)
+        context.recorded_load = dict(world.loads.own)
 
     serving_world.play(context, play)
 
@@ -265,20 +265,21 @@
     assert context.ended == "cancelled", context.ended
 
 
-@then("no request is counted on the target")
-def step_nothing_counted(context):
-    assert not context.loads, context.loads
+@then("the target has no recorded load")
+def step_no_load(context):
+    assert not context.recorded_load, context.recorded_load
 
 
-@then("it came between {low_ms:d} and {high_ms:d} ms after the request")
-def step_took(context, low_ms, high_ms):
-    assert low_ms / 1000 <= context.reply.took_s <= high_ms / 1000, context.reply
+@then("it arrived between {low_ms:d} and {high_ms:d} ms after the request")
+def step_elapsed(context, low_ms, high_ms):
+    assert low_ms / 1000 <= context.reply.elapsed_s <= high_ms / 1000, context.reply
 
 
-@when("a client asks for a stream whose target stops sending in the middle")
-def step_goes_dark(context):
+@when("a client requests a stream whose target stops sending half-way")
+def step_stops_sending(context):
     async def play(world):
-        # Whoever is asked first makes three events; the fourth would take an hour.
+        # The target that gets the request first sends three events; the fourth would
+        # take an hour.
         first = next(iter(world.replicas.values()))
         for item in world.replicas.values():
             item.manner = replica.Manner(gap_s=0.02, pause_after=3, pauses=1)
@@ -290,32 +291,32 @@
 
 
 @then("it took less than {limit_s:g} s")
-def step_took_less(context, limit_s):
-    assert context.reply.took_s < limit_s, context.reply.took_s
+def step_elapsed_less(context, limit_s):
+    assert context.reply.elapsed_s < limit_s, context.reply.elapsed_s
 
 
-@then("the replaced target is no longer known")
-def step_replaced_gone(context):
-    assert context.world.directory.find("a") is None
+@then("the replaced target is no longer registered")
+def step_replaced_removed(context):
+    assert context.world.registry.find("a") is None
 
 
-@when("a client sends {count:d} requests at once on one connection")
+@when("a client pipelines {count:d} requests on one connection")
 def step_pipeline(context, count):
     async def play(world):
         reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
         for number in range(count):
             writer.write(serving_world.make_request(attempt=f"attempt{number}"))
-        replies = [await serving_world.read_reply(reader) for _ in range(count)]
+        replies = [await serving_world.read_response(reader) for _ in range(count)]
         writer.close()
         return replies
 
     context.replies = serving_world.play(context, play)
 
 
-@then("it gets {count:d} answers, each with the events of its own request")
+@then("it receives {count:d} responses, each with the events of its own request")
 def step_pipelined(context, count):
     assert len(context.replies) == count
-    step_all_whole(context, 6)
+    step_all_complete(context, 6)
 
 
 _INPUTS = {
--- a/features/steps/stopping_daemons_steps.py
+++ b/features/steps/stopping_daemons_steps.py
@@ -10,24 +10,24 @@
 
 
 def _make_server(body):
-    async def handle(request, answer):
-        answer.send(responder.Response(200, body))
+    async def serve(request, response):
+        response.send(responder.Response(200, body))
 
-    return http_server.Server(headers.HeaderCodec(), handle, model.ClientLimits)
+    return http_server.Server(headers.HeaderCodec(), serve, model.ClientLimits)
 
 
-@given("a server whose loop is busy while {count:d} clients connect and send a request")
-def step_busy(context, count):
+@given("a server whose event loop is blocked while {count:d} clients send a request")
+def step_blocked_loop(context, count):
     context.count = count
 
 
-@when("it closes its listener before it has accepted them")
+@when("it closes its listener before it has accepted their connections")
 def step_close(context):
     async def run():
         server = _make_server(b"whole")
         await server.listen("127.0.0.1", 0)
         clients = []
-        # The loop does not run meanwhile, so that the system accepts for it.
+        # The event loop is blocked meanwhile, so connections stay in the backlog.
         for _ in range(context.count):
             client = socket.create_connection(("127.0.0.1", server.port))
             client.sendall(_REQUEST)
@@ -35,34 +35,36 @@
             clients.append(client)
         server.close_listener()
         loop = asyncio.get_running_loop()
-        context.answers = []
+        context.responses = []
         for client in clients:
-            answer = b""
+            response = b""
             try:
                 while data := await asyncio.wait_for(
                     loop.sock_recv(client, 65536), 2.0
                 ):
-                    answer += data
+                    response += data
             except (OSError, TimeoutError) as error:
-                answer = repr(error).encode()
-            context.answers.append(answer)
+                response = repr(error).encode()
+            context.responses.append(response)
             client.close()
 
     asyncio.run(run())
 
 
-@then("all {count:d} clients get a whole answer")
-def step_all_answered(context, count):
-    whole = [answer for answer in context.answers if answer.endswith(b"whole")]
-    assert len(whole) == count, context.answers
+@then("all {count:d} clients receive a complete response")
+def step_all_served(context, count):
+    complete = [
+        response for response in context.responses if response.endswith(b"whole")
+    ]
+    assert len(complete) == count, context.responses
 
 
-@given("a server with an answer of {size_kb:d} kB")
-def step_large_answer(context, size_kb):
+@given("a server with a response of {size_kb:d} kB")
+def step_large_response(context, size_kb):
     context.size = size_kb * 1000
 
 
-@when("a client that reads slowly asks for it and the server stops")
+@when("a client that reads slowly requests it and the server stops")
 def step_slow_client(context):
     async def run():
         server = _make_server(b"x" * context.size)
@@ -75,7 +77,7 @@
 
         server._make_stream = record
         await server.listen("127.0.0.1", 0)
-        # With small buffers of the system the rest stays in those of the process.
+        # With small socket buffers the rest stays in the buffers of the process.
         server._socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -98,7 +100,7 @@
     asyncio.run(run())
 
 
-@then("the server is busy until the client has all of it")
-def step_busy_until(context):
+@then("the server has an active connection until the client has all of it")
+def step_active_until(context):
     assert context.read > context.size, context.read
     assert not context.unsent_at_end, context.unsent_at_end
--- a/features/stopping_daemons.feature
+++ b/features/stopping_daemons.feature
@@ -1,14 +1,14 @@
-Feature: What clients have sent to a daemon that stops is answered
+Feature: A stopping daemon responds to the requests that it has received
 
-  # Pattern: a planned stop under load. Guards against connections that the system has
-  # accepted and the daemon has not: closing the listener would reset them.
-  Scenario: Connections that wait to be accepted are served
-    Given a server whose loop is busy while 20 clients connect and send a request
-    When it closes its listener before it has accepted them
-    Then all 20 clients get a whole answer
+  # A planned stop under load. Closing the listener resets the connections that the
+  # kernel has accepted and the daemon has not. Guards against losing their requests.
+  Scenario: Connections in the backlog are served
+    Given a server whose event loop is blocked while 20 clients send a request
+    When it closes its listener before it has accepted their connections
+    Then all 20 clients receive a complete response
 
-  # Guards against answers that are still in the process's buffers when it ends.
-  Scenario: A stop waits until a slow client has the whole answer
-    Given a server with an answer of 200 kB
-    When a client that reads slowly asks for it and the server stops
-    Then the server is busy until the client has all of it
+  # Guards against exiting while parts of responses are still in the process's buffers.
+  Scenario: A stop waits until a slow client has the complete response
+    Given a server with a response of 200 kB
+    When a client that reads slowly requests it and the server stops
+    Then the server has an active connection until the client has all of it
--- a/features/support/serving_world.py
+++ b/features/support/serving_world.py
@@ -1,4 +1,4 @@
-"""One daemon's online serving in this process, before stand-ins for targets."""
+"""Online serving of one daemon in this process, with stand-ins for targets."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 
 
 def make_configuration(**changes):
-    fields = {
+    route = {
         "name": "quote",
         "host": HOST,
         "prefix": "/quote/",
@@ -43,10 +43,10 @@
         "resumable": True,
         "gapTargetMs": 250,
     }
-    fields.update(changes)
+    route.update(changes)
     return {
         "version": 1,
-        "routes": [fields],
+        "routes": [route],
         "services": [{"name": "lm", "maxConns": 50, "engine": {}}],
         "limits": {"maxHeaderBytes": 4096, "maxBodyBytes": 100000},
     }
@@ -54,71 +54,73 @@
 
 @dataclasses.dataclass
 class Response:
-    """What a client got.
+    """Response as a client received it.
 
-    :ivar is_complete: whether the answer ended as HTTP says
+    :ivar is_complete: whether the response ended as its framing says
     """
 
     status: int = 0
     headers: dict = dataclasses.field(default_factory=dict)
     body: bytes = b""
     is_complete: bool = False
-    took_s: float = 0.0
+    elapsed_s: float = 0.0
 
 
 class World:
-    """Targets, a daemon's front and its clients."""
+    """Targets and the online serving of a daemon."""
 
     def __init__(self, configuration, names=("a", "b")):
         self.replicas = {name: replica.Replica(name) for name in names}
-        self.directory = target_registry.TargetRegistry(records.decode_target)
-        self.board = load_table.LoadTable()
+        self.registry = target_registry.TargetRegistry(records.decode_target)
+        self.loads = load_table.LoadTable()
         generator = random.Random(5)
-        place = target_selection.Location("z1", "near", {"z1": "near"})
-        choices = target_selection.TargetSelector(
-            place, self.directory, self.board, generator
+        location = target_selection.Location("z1", "near", {"z1": "near"})
+        selector = target_selection.TargetSelector(
+            location, self.registry, self.loads, generator
+        )
+        queue = slot_queue.SlotQueue(selector, self.loads, generator)
+        slot_admission = admission.Admission(
+            queue, slot_registry.SlotRegistry(self.loads)
         )
-        queue = slot_queue.SlotQueue(choices, self.board, generator)
-        admitted = admission.Admission(queue, slot_registry.SlotRegistry(self.board))
         codec = headers.HeaderCodec()
-        caller = target_client.TargetClient(
-            http_client.ConnectionPool(0.35), codec, self.directory.record_draining
+        client = target_client.TargetClient(
+            http_client.ConnectionPool(0.35), codec, self.registry.record_draining
         )
-        self.directory.add_removal_callback(caller.forget)
+        self.registry.add_removal_callback(client.forget)
         online = online_service.OnlineService(
-            self.directory, self.board, admitted, caller, generator
+            self.registry, self.loads, slot_admission, client, generator
         )
-        self.door = request_router.RequestRouter(online, None, job_codec.JobCodec())
+        self.router = request_router.RequestRouter(online, None, job_codec.JobCodec())
         if configuration is not None:
             decoded = records.decode_configuration(dump(configuration))
-            self.door.table = routing_table.RoutingTable(decoded)
-            self.door.is_ready.set()
-        self.server = http_server.Server(codec, self.door.handle, self._limits)
+            self.router.table = routing_table.RoutingTable(decoded)
+            self.router.is_ready.set()
+        self.server = http_server.Server(codec, self.router.handle, self._limits)
         self.port = 0
 
     def _limits(self):
-        table = self.door.table
+        table = self.router.table
         return model.ClientLimits() if table is None else table.configuration.limits
 
     async def start(self):
         await self.server.listen("127.0.0.1", 0)
         self.port = self.server.port
-        for number, item in enumerate(self.replicas.values()):
-            await item.start()
-            self.register(item, number + 1)
+        for number, target in enumerate(self.replicas.values()):
+            await target.start()
+            self.register(target, number + 1)
 
-    def register(self, item, version):
-        row = serving_fakes.make_row(item.name, dump(item.describe("lm")), version)
-        self.directory.apply(row, time.monotonic())
+    def register(self, target, version):
+        row = serving_fakes.make_row(target.name, dump(target.describe("lm")), version)
+        self.registry.apply(row, time.monotonic())
 
     async def stop(self):
         self.server.close_listener()
-        for item in self.replicas.values():
-            await item.stop()
+        for target in self.replicas.values():
+            await target.stop()
 
     @property
     def runs(self):
-        return [run for item in self.replicas.values() for run in item.runs]
+        return [run for target in self.replicas.values() for run in target.runs]
 
 
 def dump(value):
@@ -136,58 +138,60 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-async def read_reply(reader):
-    """Read one answer, and say whether it was whole."""
-    reply = Response()
-    began_s = time.monotonic()
+async def read_response(reader):
+    """Read one response and record whether it is complete."""
+    response = Response()
+    started_s = time.monotonic()
     with contextlib.suppress(OSError, asyncio.IncompleteReadError, ValueError):
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         first, *lines = head.strip().split("\r\n")
-        reply.status = int(first.split(" ")[1])
+        response.status = int(first.split(" ")[1])
         for line in lines:
             name, _, value = line.partition(":")
-            reply.headers[name.lower()] = value.strip()
-        if "content-length" in reply.headers:
-            reply.body = await reader.readexactly(int(reply.headers["content-length"]))
-            reply.is_complete = True
+            response.headers[name.lower()] = value.strip()
+        if "content-length" in response.headers:
+            response.body = await reader.readexactly(
+                int(response.headers["content-length"])
+            )
+            response.is_complete = True
         else:
-            await _read_chunks(reader, reply)
-    reply.took_s = time.monotonic() - began_s
-    return reply
+            await _read_chunks(reader, response)
+    response.elapsed_s = time.monotonic() - started_s
+    return response
 
 
-async def _read_chunks(reader, reply):
+async def _read_chunks(reader, response):
     while True:
         size = int((await reader.readline()).strip(), 16)
         data = await reader.readexactly(size + 2)
         if not size:
-            reply.is_complete = True
+            response.is_complete = True
             return
-        reply.body += data[:-2]
+        response.body += data[:-2]
 
 
 async def send_request(port, data, wait_s=6.0):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     try:
-        return await asyncio.wait_for(read_reply(reader), wait_s)
+        return await asyncio.wait_for(read_response(reader), wait_s)
     finally:
         writer.close()
 
 
 def prepare_all(context, **manner):
-    """Give all targets of the scenario a manner."""
+    """Set the behaviour of all targets of the scenario."""
 
     def prepare(world):
-        for item in world.replicas.values():
+        for target in world.replicas.values():
             for name, value in manner.items():
-                setattr(item.manner, name, value)
+                setattr(target.manner, name, value)
 
     context.prepare.append(prepare)
 
 
 def prepare_first(context, **manner):
-    """Give the first target of the scenario a manner."""
+    """Set the behaviour of the first target of the scenario."""
 
     def prepare(world):
         for name, value in manner.items():
@@ -197,7 +201,7 @@
 
 
 def play(context, act):
-    """Run the daemon and the targets of the scenario while clients act."""
+    """Run the daemon and the targets of the scenario during an action of clients."""
 
     async def run():
         context.world = World(context.configuration, context.names)
