--- a/features/steps/serving_state_steps.py
+++ b/features/steps/serving_state_steps.py
@@ -39,7 +39,7 @@
         context.error = error
 
 
-@then("it is refused as an entry")
+@then("the entry is rejected")
 def step_entry_refused(context):
     assert context.error is not None
     assert "i-1" in context.error.format_message()
@@ -57,8 +57,8 @@
     context.fleet.directory.apply(row, context.now_s)
 
 
-@when("the store returns after it was away")
-def step_store_returns(context):
+@when("the store recovers from an outage")
+def step_store_recovers(context):
     context.fleet.directory.record_store_recovery(context.now_s)
 
 
@@ -74,7 +74,7 @@
     assert found == names.split(", "), found
 
 
-@when('"a" has failed and registers again with another start')
+@when('"a" has failed and registers again with a new start time')
 def step_restarts(context):
     health = context.fleet.find("a").health
     health.record_failure(context.now_s)
@@ -87,7 +87,7 @@
     assert not context.fleet.find("a").health.is_paused(context.now_s)
 
 
-class _ScriptedReads(serving_fakes.FakeStore):
+class _ScriptedStore(serving_fakes.FakeStore):
     """A store whose history is gone and whose first reads are out of date."""
 
     def __init__(self):
@@ -117,7 +117,7 @@
 
 @given("a table that a daemon follows, with a row written 5 times")
 def step_followed(context):
-    context.rows = _ScriptedReads()
+    context.rows = _ScriptedStore()
     context.seen = []
     context.follower = follower.TableFollower(
         context.rows,
@@ -141,14 +141,16 @@
     asyncio.run(run())
 
 
-@when("the daemon takes versions 9, 5 and 9 of a row, its end at 7, and version 10")
-def step_take_older(context):
+@when(
+    "the daemon applies versions 9, 5 and 9 of a row, its deletion at 7, and version 10"
+)
+def step_apply_older(context):
     for version, value in ((9, b"a"), (5, b"b"), (9, b"c"), (7, None), (10, b"d")):
-        context.follower.take(store.Row(_KEY, value, version))
+        context.follower.apply_row(store.Row(_KEY, value, version))
 
 
-@then("it has told of versions 9 and 10 only")
-def step_told(context):
+@then("it has reported versions 9 and 10 only")
+def step_reported(context):
     assert context.seen == [(9, b"a"), (10, b"d")], context.seen
 
 
@@ -162,8 +164,8 @@
     _follow(context, change)
 
 
-@then("the daemon has seen only rising versions and ends with the last one")
-def step_rising(context):
+@then("the daemon has seen only increasing versions and ends with the last one")
+def step_increasing(context):
     versions = [version for version, _ in context.seen]
     assert versions == sorted(set(versions)), context.seen
     assert context.seen[-1][1] == b"last", context.seen
@@ -191,14 +193,16 @@
     def __init__(self, rows, name):
         self.owner = f"{name}/1"
         self.rows = rows
-        self.book = job_registry.JobRegistry()
+        self.registry = job_registry.JobRegistry()
         self.state = follower.TableFollower(rows, "state", "", self._on_row)
-        self.changes = job_changes.JobChanges(rows, self.state, self.book, self.owner)
+        self.changes = job_changes.JobChanges(
+            rows, self.state, self.registry, self.owner
+        )
         self.feed = asyncio.ensure_future(self.state.run())
 
     def _on_row(self, row):
         if row.row_key.key.startswith(jobs.JOB_PREFIX):
-            self.book.apply(row)
+            self.registry.apply(row)
 
 
 def _route(quota=0):
@@ -229,7 +233,7 @@
 
 
 async def _commit(daemon, entry, results):
-    """Store results the way the runner does; return the entry that stands."""
+    """Commit results as the runner does; return the current entry and if applied."""
     job = entry.job
     puts = []
     for number, result in enumerate(results):
@@ -243,12 +247,12 @@
         state=jobs.JobState.OPEN if listed < job.total else jobs.JobState.DONE,
         operation=secrets.token_hex(8),
     )
-    stands = await daemon.changes.replace(entry, advanced, float("inf"), puts)
-    is_mine = stands is not None and stands.job.operation == advanced.operation
-    return stands, is_mine
+    current = await daemon.changes.replace(entry, advanced, float("inf"), puts)
+    is_applied = current is not None and current.job.operation == advanced.operation
+    return current, is_applied
 
 
-async def _play(seed, faults, counts):
+async def _simulate(seed, faults, counts):
     rows = serving_fakes.FakeStore(seed, faults)
     generator = random.Random(seed)
     daemons = [_Daemon(rows, "a"), _Daemon(rows, "b")]
@@ -310,24 +314,24 @@
 
 
 @when(
-    "{count:d} histories of two daemons are played with seed {seed:d} and "
+    "{count:d} histories of two daemons are simulated with seed {seed:d} and "
     "{share:d} of 100 transactions going wrong"
 )
 def step_histories(context, count, seed, share):
-    # Pauses between attempts are left out, so that many histories fit the time.
+    # No pauses between attempts, so that many histories fit into the test's time.
     context.counts = collections.Counter()
     context.stores = []
-    former, job_changes._RETRY_S = job_changes._RETRY_S, 0.0
+    former, job_changes._RETRY_INTERVAL_S = job_changes._RETRY_INTERVAL_S, 0.0
 
     async def run():
         for number in range(count):
-            rows = await _play(seed * 1000 + number, share / 100, context.counts)
+            rows = await _simulate(seed * 1000 + number, share / 100, context.counts)
             context.stores.append(rows)
 
     try:
         asyncio.run(run())
     finally:
-        job_changes._RETRY_S = former
+        job_changes._RETRY_INTERVAL_S = former
 
 
 @then("each position was written once with one content")
@@ -339,7 +343,7 @@
         assert all(times == 1 for times in written.values()), written
 
 
-@then("no item stands at two positions")
+@then("no item is listed at two positions")
 def step_items_once(context):
     for rows in context.stores:
         results = [
@@ -390,10 +394,10 @@
     context.outcomes = asyncio.run(run())
 
 
-@then("{taken:d} jobs were taken and the others refused as over the quota")
-def step_taken(context, taken):
+@then("{taken:d} jobs were accepted and the others refused as over the quota")
+def step_accepted(context, taken):
     entries = [
-        item for item in context.outcomes if isinstance(item, job_registry.BookEntry)
+        item for item in context.outcomes if isinstance(item, job_registry.JobEntry)
     ]
     refusals = [
         item
@@ -405,7 +409,7 @@
 
 
 class _LosingStore(serving_fakes.FakeStore):
-    """Applies nothing and answers nothing."""
+    """A store that applies nothing and never responds."""
 
     async def apply(self, change):
         await asyncio.sleep(0)
@@ -425,13 +429,13 @@
     asyncio.run(run())
 
 
-@then("the outcome is said to be unknown")
+@then("the outcome is reported as unknown")
 def step_unknown(context):
     assert isinstance(context.error, failures.JobUncertain), context.error
 
 
-class _EndlessCaller:
-    """Counts calls and never answers."""
+class _HangingClient:
+    """A target client that counts calls and never gets a response."""
 
     def __init__(self):
         self.attempts = collections.Counter()
@@ -443,19 +447,19 @@
         yield None
 
 
-@when("a daemon adopts a job of {count:d} items, and again after 100 ms")
-def step_adopt_twice(context, count):
+@when("a daemon starts a job of {count:d} items, and again after 100 ms")
+def step_start_twice(context, count):
     async def run():
         daemon = _Daemon(serving_fakes.FakeStore(), "a")
         fleet = serving_fakes.Fleet(["t0", "t1"])
-        context.caller = _EndlessCaller()
+        context.caller = _HangingClient()
         runner = _make_runner(daemon, fleet, context.caller)
         task = asyncio.ensure_future(runner.run())
         submission = _submission("job", items=count)
         entry = await daemon.changes.accept(submission)
-        runner.adopt(entry, submission.items)
+        runner.start_job(entry, submission.items)
         await asyncio.sleep(0.1)
-        runner.adopt(entry, submission.items)
+        runner.start_job(entry, submission.items)
         await asyncio.sleep(0.4)
         task.cancel()
         daemon.feed.cancel()
@@ -475,17 +479,17 @@
     async def run():
         daemon = _Daemon(serving_fakes.FakeStore(), "a")
         fleet = serving_fakes.Fleet(["t0"])
-        runner = _make_runner(daemon, fleet, _EndlessCaller(), routes=())
+        runner = _make_runner(daemon, fleet, _HangingClient(), routes=())
         task = asyncio.ensure_future(runner.run())
         submission = _submission("job", items=count)
         entry = await daemon.changes.accept(submission)
-        runner.adopt(entry, submission.items)
+        runner.start_job(entry, submission.items)
         await asyncio.sleep(0.5)
-        context.early = daemon.book.entries["job"].job
+        context.early = daemon.registry.entries["job"].job
         for item in runner._owned["job"].runs.values():
-            item.routeless_since_s -= job_runner._ROUTE_GONE_S
+            item.routeless_since_s -= job_runner._ROUTE_MISSING_LIMIT_S
         await asyncio.sleep(0.5)
-        context.late = daemon.book.entries["job"].job
+        context.late = daemon.registry.entries["job"].job
         listed = await daemon.changes.load_results("job", 0, count)
         context.states = [result.is_completed for result in listed.values()]
         task.cancel()
@@ -500,10 +504,10 @@
 
 
 @then(
-    "once the route has been gone for longer than a daemon lags behind, all are listed "
-    "as given up"
+    "once the route has been missing for longer than the limit, all are listed "
+    "as failed"
 )
-def step_given_up(context):
+def step_route_missing(context):
     assert context.late.state is jobs.JobState.DONE, context.late
     assert context.states == [False] * context.late.total, context.states
 
@@ -523,7 +527,7 @@
             caller=caller,
             row_store=daemon.rows,
             changes=daemon.changes,
-            reader=job_reader.JobReader(daemon.book, daemon.changes, lambda: 0.5),
+            reader=job_reader.JobReader(daemon.registry, daemon.changes, lambda: 0.5),
             routes=lambda: table,
             encode_headers=headers.HeaderCodec().encode_item_headers,
             generator=random.Random(1),
@@ -532,30 +536,33 @@
     )
 
 
-class _OldReads(serving_fakes.FakeStore):
-    """A store that answers reads from a former state while it is told to."""
+class _StaleReadStore(serving_fakes.FakeStore):
+    """A store whose reads are out of date while ``is_stale`` is set."""
 
     def __init__(self):
         super().__init__()
-        self.is_old = False
+        self.is_stale = False
 
     async def read_rows(self, table, partition, start="", end=""):
-        if not self.is_old:
+        if not self.is_stale:
             return await super().read_rows(table, partition, start, end)
         return store.RowPage((), 0)
 
 
-@given("a daemon that has accepted a job, and another one whose store answers are old")
+@given(
+    "a daemon that has accepted a job, and another one whose store reads are out of "
+    "date"
+)
 def step_old_answers(context):
     async def run():
-        rows = _OldReads()
+        rows = _StaleReadStore()
         first, second = _Daemon(rows, "a"), _Daemon(rows, "b")
         for daemon in (first, second):
-            # What they learn by their feeds is left out.
+            # Only the reads under test update the daemons.
             daemon.feed.cancel()
         await first.changes.accept(_submission("job"))
-        reader = job_reader.JobReader(second.book, second.changes, lambda: 0.5)
-        rows.is_old = True
+        reader = job_reader.JobReader(second.registry, second.changes, lambda: 0.5)
+        rows.is_stale = True
         context.answers = [await _ask_for_job(reader)]
         report = peer_messages.Report(
             "a", "r", "1", 1, {}, version=first.state.newest.value
@@ -565,7 +572,7 @@
         asyncio.get_running_loop().call_later(0.1, newest.record, received.version)
         context.answers.append(await _ask_for_job(reader))
         context.answers.append(await _ask_for_job(reader))
-        rows.is_old = False
+        rows.is_stale = False
         context.answers.append(await _ask_for_job(reader))
 
     asyncio.run(run())
@@ -579,10 +586,10 @@
     return "unknown" if entry is None else "found"
 
 
-@when("the other daemon is asked for the job before any report has come")
-@when("it is asked again and a report of the first one comes 100 ms later")
+@when("the other daemon is asked for the job before any report has arrived")
+@when("it is asked again and a report of the first one arrives 100 ms later")
 @when("it is asked again after a report of the first one")
-@when("the answers of the store are up to date again")
+@when("the store's reads are up to date again")
 def step_asked(context):
     context.answer = context.answers.pop(0)
 
@@ -592,25 +599,25 @@
     assert context.answer == "found", context.answer
 
 
-@then("it knows of no job")
+@then("it finds no job")
 def step_answer_none(context):
     assert context.answer == "unknown", context.answer
 
 
-@then("it can't be sure")
+@then("it can't decide whether the job exists")
 def step_answer_unsure(context):
     assert context.answer == "not sure", context.answer
 
 
-@when("a daemon hands back a job whose first item has failed {count:d} times")
-def step_hand_back(context, count):
+@when("a daemon releases a job whose first item has failed {count:d} times")
+def step_release(context, count):
     async def run():
         rows = serving_fakes.FakeStore()
         first, second = _Daemon(rows, "a"), _Daemon(rows, "b")
         fleet = serving_fakes.Fleet([])
         submission = _submission("job")
         runner = _make_runner(first, fleet, None)
-        runner.adopt(await first.changes.accept(submission), submission.items)
+        runner.start_job(await first.changes.accept(submission), submission.items)
         run = runner._owned["job"].runs["job-0"]
         run.failed = count
         run.pieces, run.last_event = [b"one", b"two"], 2
@@ -619,8 +626,8 @@
         context.owner = entry.job.owner
         successor = _make_runner(second, fleet, None)
         progress = await second.changes.load_progress("job")
-        taken = jobs.Taken(progress=progress)
-        successor.adopt(entry, submission.items, taken)
+        taken = jobs.JobProgress(progress=progress)
+        successor.start_job(entry, submission.items, taken)
         context.runs = successor._owned["job"].runs
         for daemon in (first, second):
             daemon.feed.cancel()
@@ -628,22 +635,22 @@
     asyncio.run(run())
 
 
-@then("the daemon that takes the job over goes on from {count:d} failed runs")
-def step_goes_on(context, count):
+@then("the daemon that takes the job over continues from {count:d} failed runs")
+def step_continues(context, count):
     assert context.owner == ""
     failed = {item_id: run.failed for item_id, run in context.runs.items()}
     assert failed == {"job-0": count, "job-1": 0, "job-2": 0}, failed
 
 
-@then("it goes on behind the 2 events that the item has brought")
-def step_goes_on_behind(context):
+@then("it resumes the item after the 2 events received so far")
+def step_resumes(context):
     begun = context.runs["job-0"]
     assert (begun.last_event, begun.pieces) == (2, [b"one", b"two"])
     assert context.runs["job-1"].last_event == 0
 
 
-class _NamedNetwork:
-    """Says which daemons live; the loads and datagrams are left out."""
+class _FakePeers:
+    """A peer registry with fixed peers that are all alive."""
 
     def __init__(self, name, stopping):
         self.is_stopping = name == stopping
@@ -675,14 +682,14 @@
         for name, daemon in daemons.items():
             claims = job_takeover.JobTakeover(
                 peer_registry.Identity(name, "r", "1", "10.0.0.1", 1),
-                _NamedNetwork(name, context.stopping),
+                _FakePeers(name, context.stopping),
                 daemon.state,
-                daemon.book,
+                daemon.registry,
                 daemon.changes,
                 _make_runner(daemon, serving_fakes.Fleet([]), None),
             )
-            # The daemons have been running for long.
-            claims._settled_s = 0.0
+            # As if the daemons had been running for long.
+            claims._warmed_up_s = 0.0
             tasks.append(asyncio.ensure_future(claims.run()))
         await asyncio.sleep(1.2)
         entry = await daemons["a"].changes.refresh("job")
--- a/src/endivevane/serving/item_sender.py
+++ b/src/endivevane/serving/item_sender.py
@@ -1,4 +1,4 @@
-"""Sending a batch item to a target."""
+"""Sending of batch items to targets."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
     target_responses,
 )
 
-# The target says that the item itself can't be done.
-_IMPOSSIBLE_STATUS = 422
+# The target can't process this item; a retry would not help.
+_UNPROCESSABLE_STATUS = 422
 _FAILED_STATUS = 500
 _OK_STATUS = 200
-# Time without a whole event after which an item goes on elsewhere; a sound target may
-# keep it waiting for some seconds.
-_STALL_S = 5.0
-# Text of an item above which its answer is taken for broken.
-_MOST_TEXT_BYTES = 4 << 20
+# Time without a complete event after which an item is retried elsewhere; a healthy
+# target may delay an event by some seconds.
+_STALL_TIMEOUT_S = 5.0
+# A longer output is treated as a broken response.
+_MAX_OUTPUT_BYTES = 4 << 20
 
 HeaderEncoder = abc.Callable[[str, abc.Mapping[str, str]], model.Headers]
 
 
 class RunEnd(enum.Enum):
-    """How a run of an item ended."""
+    """How a run of an item ended; the values are metric labels and log values."""
 
-    WHOLE = "whole"
+    COMPLETED = "whole"
     NOT_RUN = "not_run"
     FAILED = "failed"
-    IMPOSSIBLE = "impossible"
+    UNPROCESSABLE = "impossible"
     BROKEN = "broken"
-    YIELDED = "yielded"
+    PREEMPTED = "yielded"
 
 
 class ItemSender:
-    """Runs an item at a target, from behind its last event on."""
+    """Runs items on targets; an item resumes after its last event."""
 
     def __init__(
         self,
@@ -56,9 +56,9 @@
     async def send(
         self, job: jobs.Job, run: owned_jobs.ItemRun, target: model.Target
     ) -> tuple[RunEnd, int]:
-        """Return how the run ended and the status of the answer, 0 for none.
+        """Send an item; return how the run ended and the response status, 0 for none.
 
-        :raises failures.TargetCallError: when the answer does not come or breaks off
+        :raises failures.TargetCallError: when the response is missing or truncated
         """
         known = self._targets.find(target.target_id)
         if known is None or known.is_draining:
@@ -70,26 +70,26 @@
             body=run.item.body,
             attempt_id=run.item.item_id.encode("latin-1"),
             last_event_id=str(run.last_event).encode() if run.last_event else b"",
-            stall_timeout_s=_STALL_S,
+            stall_timeout_s=_STALL_TIMEOUT_S,
         )
-        async with self._caller.call(known, call, True) as answer:
-            status = answer.head.status
-            if answer.head.is_not_run:
-                self._note_refusal(known, answer.head)
+        async with self._caller.call(known, call, True) as response:
+            status = response.head.status
+            if response.head.is_not_run:
+                self._record_refusal(known, response.head)
                 return RunEnd.NOT_RUN, status
-            if status == _IMPOSSIBLE_STATUS:
-                return RunEnd.IMPOSSIBLE, status
+            if status == _UNPROCESSABLE_STATUS:
+                return RunEnd.UNPROCESSABLE, status
             if status == _FAILED_STATUS:
                 return RunEnd.FAILED, status
             if status != _OK_STATUS:
                 return RunEnd.BROKEN, status
-            target_responses.check_signature(known, answer.head)
-            end = await _read_events(known, run, answer)
-            if end is RunEnd.WHOLE:
+            target_responses.check_signature(known, response.head)
+            end = await _read_events(known, run, response)
+            if end is RunEnd.COMPLETED:
                 known.health.record_success()
             return end, status
 
-    def _note_refusal(
+    def _record_refusal(
         self, known: target_registry.KnownTarget, reply: model.TargetReply
     ) -> None:
         known.health.record_full(time.monotonic())
@@ -100,16 +100,16 @@
 async def _read_events(
     known: target_registry.KnownTarget,
     run: owned_jobs.ItemRun,
-    answer: target_client.TargetResponse,
+    response: target_client.TargetResponse,
 ) -> RunEnd:
-    splitter = sse.EventParser()
+    parser = sse.EventParser()
     size = sum(len(piece) for piece in run.pieces)
-    while (data := await answer.read()) is not None:
+    while (data := await response.read()) is not None:
         size += len(data)
-        for event in target_responses.parse_events(known, splitter, data):
-            answer.record_event()
-            if not run.take(event):
+        for event in target_responses.parse_events(known, parser, data):
+            response.record_event()
+            if not run.add_event(event):
                 return RunEnd.BROKEN
-        if size > _MOST_TEXT_BYTES:
+        if size > _MAX_OUTPUT_BYTES:
             return RunEnd.BROKEN
-    return RunEnd.BROKEN if splitter.remainder else RunEnd.WHOLE
+    return RunEnd.BROKEN if parser.remainder else RunEnd.COMPLETED
--- a/src/endivevane/serving/job_api.py
+++ b/src/endivevane/serving/job_api.py
@@ -1,4 +1,4 @@
-"""The batch calls of clients."""
+"""Handlers of the batch API."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     responder,
 )
 
-# Time limit of a call whose client names none.
-_DEFAULT_LIMIT_S = 4.0
-_LONGEST_WAIT_S = 1.0
-# A client that found the store away comes back after about this long.
+# Timeout of a call for which the client sets none.
+_DEFAULT_TIMEOUT_S = 4.0
+_MAX_WAIT_S = 1.0
+# Retry-After of calls that failed because the store was unavailable.
 _RETRY_AFTER_S = 0.4
 
 
 class JobCodec(typing.Protocol):
-    """Translates the batch calls."""
+    """Decodes and encodes the bodies of batch calls."""
 
     def decode_items(self, body: bytes) -> tuple[jobs.Item, ...]:
         """Return the items of a submitted job."""
@@ -34,11 +34,11 @@
     def encode_results(
         self, total: int, position: int, results: abc.Sequence[jobs.ItemResult]
     ) -> bytes:
-        """Return the answer to a read of results."""
+        """Return the response body of a read of results."""
 
 
 class JobApi:
-    """Answers the batch calls."""
+    """Handles the batch calls of clients."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
     async def submit(
         self, request: model.ClientRequest, route: model.Route
     ) -> responder.Response:
-        """Accept a job; it is answered once the store has it."""
+        """Accept a job and respond once the store holds it."""
         job_id = request.attempt_id.decode("latin-1")
         try:
             items = self._codec.decode_items(request.body)
@@ -65,7 +65,7 @@
         if not job_id:
             return responder.Response(http.HTTPStatus.BAD_REQUEST)
         submission = job_changes.Submission(
-            job_id, request.host, request.path, route, items, _find_limit(request)
+            job_id, request.host, request.path, route, items, _get_deadline_s(request)
         )
         try:
             entry = await self._changes.accept(submission)
@@ -75,7 +75,7 @@
             logs.limited_info("job_uncertain", job=job_id)
             return responder.Response(http.HTTPStatus.GATEWAY_TIMEOUT)
         if entry is not None and entry.job.owner:
-            self._runner.adopt(entry, items)
+            self._runner.start_job(entry, items)
         logs.info(
             "job_accepted",
             job=job_id,
@@ -88,7 +88,7 @@
     async def call(
         self, request: model.ClientRequest, job_call: jobs.JobCall
     ) -> responder.Response:
-        """Answer a read or the end of a job."""
+        """Handle a call that reads or ends a job."""
         try:
             match job_call:
                 case jobs.ReadResults():
@@ -96,7 +96,7 @@
                 case jobs.ReadItem():
                     return await self._read_item(job_call)
                 case jobs.EndJob():
-                    return await self._end(job_call, _find_limit(request))
+                    return await self._end(job_call, _get_deadline_s(request))
         except failures.StoreFailure as error:
             logs.limited_info(
                 "job_call_unsure", job=job_call.job_id, cause=error.format_message()
@@ -109,7 +109,7 @@
         self, job_call: jobs.ReadResults, wait_s: float
     ) -> responder.Response:
         found = await self._reader.read(
-            job_call.job_id, job_call.position, min(wait_s, _LONGEST_WAIT_S)
+            job_call.job_id, job_call.position, min(wait_s, _MAX_WAIT_S)
         )
         if found is None:
             logs.limited_info("job_unknown", job=job_call.job_id)
@@ -147,8 +147,8 @@
         return responder.Response(status, retry_after_s=_RETRY_AFTER_S)
 
 
-def _find_limit(request: model.ClientRequest) -> float:
-    """Return the monotonic time until which the client waits."""
+def _get_deadline_s(request: model.ClientRequest) -> float:
+    """Return the monotonic time until which the client waits for the response."""
     if request.deadline_s is not None:
         return request.deadline_s
-    return request.received_s + _DEFAULT_LIMIT_S
+    return request.received_s + _DEFAULT_TIMEOUT_S
--- a/src/endivevane/serving/job_changes.py
+++ b/src/endivevane/serving/job_changes.py
@@ -1,4 +1,4 @@
-"""Changes of batch jobs, each of them one conditional transaction."""
+"""Reads and changes of stored batch jobs; a change is one conditional transaction."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from endivevane import logs
 from endivevane.serving import failures, follower, job_registry, jobs, model, store
 
-_RETRY_S = 0.08
-# A job that was taken or refused is answered this long before its time limit.
-_ANSWER_LEAD_S = 0.25
-# How long to wait for the rows that a conflict told of.
-_CATCH_UP_S = 1.0
+_RETRY_INTERVAL_S = 0.08
+# Attempts to accept a job stop this long before the client's deadline, so that the
+# response arrives in time.
+_RESPONSE_MARGIN_S = 0.25
+# How long to wait for the local copy to reach the versions named by a conflict.
+_CATCH_UP_TIMEOUT_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submission:
-    """A job that a client hands in.
+    """A job as submitted by a client.
 
-    :param until_s: monotonic time until which the store may be tried
+    :param until_s: monotonic time until which the store may be called
     """
 
     job_id: str
@@ -36,34 +37,35 @@
 class JobChanges:
     """Accepts, ends, claims and advances jobs in the store.
 
-    A lost answer is settled by sending the same change again: its condition lets it
-    take effect once, and the row names the change that wrote it.
+    A lost response is resolved by retrying the same change. This is idempotent: the
+    condition on the row's version lets it apply once, and the row's ``operation``
+    identifies the change that wrote it.
     """
 
     def __init__(
         self,
         rows: store.Store,
         state: follower.TableFollower,
-        book: job_registry.JobRegistry,
+        registry: job_registry.JobRegistry,
         owner: str,
     ) -> None:
         self._store = rows
         self._state = state
-        self._book = book
+        self._registry = registry
         self._owner = owner
 
     def stop_owning(self) -> None:
-        """Leave jobs that are accepted from now on to other daemons."""
+        """Accept further jobs without an owner, for other daemons to claim."""
         self._owner = ""
 
-    async def accept(self, submission: Submission) -> job_registry.BookEntry | None:
-        """Store a job; return its entry when this call has created it.
+    async def accept(self, submission: Submission) -> job_registry.JobEntry | None:
+        """Store a job; return its entry if this call has created it.
 
-        :returns: ``None`` when the job was there already
-        :raises failures.JobRefused: when nothing of it was or will be stored
-        :raises failures.JobUncertain: when that is not known
+        :returns: ``None`` when the job existed already
+        :raises failures.JobRefused: when the job is not and will not be stored
+        :raises failures.JobUncertain: when the outcome is unknown
         """
-        known = self._book.entries.get(submission.job_id)
+        known = self._registry.entries.get(submission.job_id)
         if known is not None:
             return None
         job = self._make_job(submission)
@@ -72,7 +74,7 @@
         is_uncertain = False
         is_payload_stored = bool(job.chunks)
         cause = "no time left"
-        while time.monotonic() < submission.until_s - _ANSWER_LEAD_S:
+        while time.monotonic() < submission.until_s - _RESPONSE_MARGIN_S:
             self._check_quota(submission, job, is_uncertain)
             try:
                 if not is_payload_stored:
@@ -85,13 +87,13 @@
                 if isinstance(error, failures.StoreUncertain):
                     is_uncertain = is_uncertain or is_payload_stored
                 cause = error.cause
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_INTERVAL_S)
                 continue
             if isinstance(result, store.Applied):
-                return self._take(job, result.version)
+                return self._apply_written(job, result.version)
             existing = result.find(jobs.make_job_key(job.job_id))
             if existing is not None:
-                return self._take_existing(job, existing)
+                return self._apply_existing(job, existing)
             await self._catch_up(result)
         if is_uncertain:
             raise failures.JobUncertain(job.job_id)
@@ -100,7 +102,7 @@
     async def end(self, job_id: str, until_s: float) -> bool:
         """Stop a job; return whether it is known to have stopped."""
         while time.monotonic() < until_s:
-            entry = self._book.entries.get(job_id)
+            entry = self._registry.entries.get(job_id)
             if entry is None or not entry.job.is_open:
                 return entry is not None
             ended = dataclasses.replace(
@@ -113,15 +115,17 @@
 
     async def replace(
         self,
-        entry: job_registry.BookEntry,
+        entry: job_registry.JobEntry,
         job: jobs.Job,
         until_s: float,
         puts: abc.Sequence[tuple[store.RowKey, bytes]] = (),
-    ) -> job_registry.BookEntry | None:
-        """Write a job's next version if the row has not changed meanwhile.
+    ) -> job_registry.JobEntry | None:
+        """Write the next version of a job if its row has not changed (compare-and-set).
 
-        :param job: its ``operation`` must be new
-        :returns: the entry that stands now, ``None`` if that is not known in time
+        :param job: new version, with a new ``operation``
+        :param puts: further rows to write in the same transaction
+        :returns: the current entry, whichever change wrote it; ``None`` when the row
+            is deleted or the outcome is unknown at ``until_s``
         """
         row_key = jobs.make_job_key(job.job_id)
         change = store.Transaction(
@@ -135,21 +139,21 @@
                 logs.limited_info(
                     "job_change_delayed", job=job.job_id, cause=error.format_message()
                 )
-                if time.monotonic() + _RETRY_S > until_s:
+                if time.monotonic() + _RETRY_INTERVAL_S > until_s:
                     return None
-                await asyncio.sleep(_RETRY_S)
+                await asyncio.sleep(_RETRY_INTERVAL_S)
                 continue
             if isinstance(result, store.Applied):
-                return self._take(job, result.version)
+                return self._apply_written(job, result.version)
             existing = result.find(row_key)
             if existing is None:
-                self._state.take(store.Row(row_key, None, entry.version + 1))
+                self._state.apply_row(store.Row(row_key, None, entry.version + 1))
                 return None
-            self._state.take(existing)
-            return self._book.entries.get(job.job_id)
+            self._state.apply_row(existing)
+            return self._registry.entries.get(job.job_id)
 
     async def load_items(self, job: jobs.Job) -> tuple[jobs.Item, ...]:
-        """Return the items of a job from the store.
+        """Read the items of a job from the store.
 
         :raises failures.StoreFailure: when they can't be read
         """
@@ -164,7 +168,7 @@
     async def load_results(
         self, job_id: str, start: int, end: int
     ) -> dict[int, jobs.ItemResult]:
-        """Return the results at positions ``[start, end)`` from the store.
+        """Read the results at positions ``[start, end)`` from the store.
 
         :raises failures.StoreFailure: when they can't be read
         """
@@ -177,7 +181,7 @@
         return jobs.join_results(page.rows)
 
     async def load_progress(self, job_id: str) -> dict[str, jobs.Progress]:
-        """Return the progress of a job's items that is stored.
+        """Read the stored progress of a job's items, by item id.
 
         :raises failures.StoreFailure: when it can't be read
         """
@@ -194,22 +198,22 @@
                 logs.error("progress_unreadable", job=job_id, cause=error)
         return progress
 
-    async def refresh(self, job_id: str) -> job_registry.BookEntry | None:
+    async def refresh(self, job_id: str) -> job_registry.JobEntry | None:
         """Read the row of a job; return its entry, ``None`` if there is no such job.
 
-        :raises failures.StoreFailure: when that can't be known
+        :raises failures.StoreFailure: when the read fails or is out of date
         """
         row_key = jobs.make_job_key(job_id)
-        # A daemon may have accepted the job after the moment that an answer shows.
+        # Another daemon may have accepted the job after the version of a stale read.
         needed = self._state.newest.value
         page = await self._store.read_rows(
             row_key.table, row_key.partition, row_key.key, row_key.key + "\0"
         )
         if page.version < needed:
-            raise failures.StoreRefused("read_rows", "answer is out of date")
+            raise failures.StoreRefused("read_rows", "read is out of date")
         for row in page.rows:
-            self._state.take(row)
-        return self._book.entries.get(job_id)
+            self._state.apply_row(row)
+        return self._registry.entries.get(job_id)
 
     def _make_job(self, submission: Submission) -> jobs.Job:
         now_ms = int(time.time() * 1000)
@@ -240,8 +244,8 @@
     ) -> store.Transaction:
         """Return the transaction that accepts a job.
 
-        The quota's row makes daemons accept one after the other on a route, so that
-        each one has counted what the others accepted.
+        The condition on the quota row serialises acceptance on a route, so that each
+        daemon has counted the jobs that the others accepted.
         """
         row_key = jobs.make_job_key(job.job_id)
         conditions = [store.Condition(row_key, 0)]
@@ -264,7 +268,7 @@
         quota = submission.route.token_quota
         if not quota:
             return
-        waiting = self._book.count_waiting_tokens(submission.route.name)
+        waiting = self._registry.count_waiting_tokens(submission.route.name)
         if waiting + job.tokens_left <= quota:
             return
         logs.limited_info(
@@ -278,30 +282,30 @@
             raise failures.JobUncertain(job.job_id)
         raise failures.JobRefused("quota", is_over_quota=True)
 
-    def _take(self, job: jobs.Job, version: int) -> job_registry.BookEntry:
-        """Take in a row that this daemon wrote."""
+    def _apply_written(self, job: jobs.Job, version: int) -> job_registry.JobEntry:
+        """Apply a row that this daemon wrote to the local copy."""
         row_key = jobs.make_job_key(job.job_id)
-        self._state.take(store.Row(row_key, jobs.encode_job(job), version))
-        return self._book.entries[job.job_id]
+        self._state.apply_row(store.Row(row_key, jobs.encode_job(job), version))
+        return self._registry.entries[job.job_id]
 
-    def _take_existing(
+    def _apply_existing(
         self, job: jobs.Job, row: store.Row
-    ) -> job_registry.BookEntry | None:
-        """Take in the row of a job that was there; return it if this call wrote it."""
-        self._state.take(row)
-        entry = self._book.entries.get(job.job_id)
+    ) -> job_registry.JobEntry | None:
+        """Apply the row of an existing job; return its entry if this call wrote it."""
+        self._state.apply_row(row)
+        entry = self._registry.entries.get(job.job_id)
         if entry is not None and entry.job.operation == job.operation:
             return entry
         return None
 
     async def _catch_up(self, conflict: store.Conflict) -> None:
-        """Wait until the rows behind a conflict are known here."""
+        """Wait until the local copy has reached the rows of a conflict."""
         newest = max((row.version for row in conflict.rows), default=0)
-        await self._state.wait_until(newest, _CATCH_UP_S)
+        await self._state.wait_until(newest, _CATCH_UP_TIMEOUT_S)
 
 
 def _split_payload(job: jobs.Job, payload: bytes) -> list[tuple[store.RowKey, bytes]]:
-    """Return the rows of a payload, none if it is kept as an object."""
+    """Return the rows of a payload, none if it is stored as an object."""
     if not job.chunks:
         return []
     return jobs.split_rows(jobs.PAYLOAD_TABLE, job.job_id, payload)
--- a/src/endivevane/serving/job_reader.py
+++ b/src/endivevane/serving/job_reader.py
@@ -1,4 +1,4 @@
-"""Answers to clients who read batch jobs."""
+"""Reads of batch jobs for clients, with a cache."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 from endivevane.serving import failures, job_changes, job_registry, jobs
 
-# One answer holds results up to this size of their texts.
-_ANSWER_BYTES = 800_000
-# Texts kept in memory; the oldest jobs are read from the store again.
-_CACHE_BYTES = 24_000_000
-_CACHED_PAYLOADS = 32
+# Limit of the result texts in one response.
+_MAX_RESPONSE_BYTES = 800_000
+# Limit of the cached result texts; jobs cached first are evicted first.
+_MAX_CACHED_BYTES = 24_000_000
+_MAX_CACHED_PAYLOADS = 32
 
 
 class JobReader:
-    """Reads results and item bodies, from memory where they are known.
+    """Reads results and item bodies, from the cache or the store.
 
-    :param find_spread_s: returns the time in which daemons hear of each other's changes
+    :param get_propagation_s: returns the time for a change to reach all daemons
     """
 
     def __init__(
         self,
-        book: job_registry.JobRegistry,
+        registry: job_registry.JobRegistry,
         changes: job_changes.JobChanges,
-        find_spread_s: abc.Callable[[], float],
+        get_propagation_s: abc.Callable[[], float],
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._changes = changes
-        self._find_spread_s = find_spread_s
+        self._get_propagation_s = get_propagation_s
         self._results: collections.OrderedDict[str, dict[int, jobs.ItemResult]]
         self._results = collections.OrderedDict()
         self._result_bytes = 0
@@ -38,18 +38,18 @@
         self._payloads = collections.OrderedDict()
         self._locks: dict[str, asyncio.Lock] = {}
 
-    async def find(self, job_id: str) -> job_registry.BookEntry | None:
-        """Return a job, ``None`` when the store knows of none.
+    async def find(self, job_id: str) -> job_registry.JobEntry | None:
+        """Return a job, ``None`` when there is no such job.
 
-        :raises failures.StoreFailure: when that can't be known
+        :raises failures.StoreFailure: when that can't be decided
         """
-        entry = self._book.entries.get(job_id)
+        entry = self._registry.entries.get(job_id)
         if entry is None:
             entry = await self._changes.refresh(job_id)
         if entry is None:
-            # By then every daemon has said which version it has seen, so that an
-            # answer that is older than the acceptance of the job is known to be.
-            await asyncio.sleep(self._find_spread_s())
+            # By then every daemon has reported the newest version that it has seen,
+            # so that a read older than the acceptance of the job is detected.
+            await asyncio.sleep(self._get_propagation_s())
             entry = await self._changes.refresh(job_id)
         return entry
 
@@ -58,7 +58,7 @@
     ) -> tuple[int, list[jobs.ItemResult]] | None:
         """Return the number of items and the results from a position on.
 
-        :param wait_s: how long to wait for a result
+        :param wait_s: how long to wait for a first result
         :returns: ``None`` when there is no such job
         :raises failures.StoreFailure: when the results can't be read
         """
@@ -68,8 +68,8 @@
             left_s = until_s - time.monotonic()
             if entry.job.listed > position or left_s <= 0:
                 break
-            await self._book.wait_for_change(job_id, left_s)
-            entry = self._book.entries.get(job_id)
+            await self._registry.wait_for_change(job_id, left_s)
+            entry = self._registry.entries.get(job_id)
         if entry is None:
             return None
         if entry.job.listed <= position:
@@ -87,29 +87,29 @@
         bodies = self._payloads.get(job_id)
         if bodies is None:
             items = await self._changes.load_items(entry.job)
-            bodies = self.keep_bodies(job_id, items)
+            bodies = self.cache_bodies(job_id, items)
         return bodies.get(item_id)
 
-    def keep_bodies(
+    def cache_bodies(
         self, job_id: str, items: tuple[jobs.Item, ...]
     ) -> dict[str, bytes]:
-        """Keep the bodies of a job in memory for a while."""
+        """Cache the item bodies of a job and return them by item id."""
         bodies = {item.item_id: item.body for item in items}
         self._payloads[job_id] = bodies
-        if len(self._payloads) > _CACHED_PAYLOADS:
+        if len(self._payloads) > _MAX_CACHED_PAYLOADS:
             self._payloads.popitem(last=False)
         return bodies
 
-    def keep_results(self, job_id: str, results: dict[int, jobs.ItemResult]) -> None:
-        """Keep results that the store holds in memory for a while."""
+    def cache_results(self, job_id: str, results: dict[int, jobs.ItemResult]) -> None:
+        """Cache results that the store holds."""
         known = self._results.setdefault(job_id, {})
         for position, result in results.items():
             if position not in known:
                 known[position] = result
                 self._result_bytes += len(result.text)
-        while self._result_bytes > _CACHE_BYTES and len(self._results) > 1:
-            _, dropped = self._results.popitem(last=False)
-            self._result_bytes -= sum(len(item.text) for item in dropped.values())
+        while self._result_bytes > _MAX_CACHED_BYTES and len(self._results) > 1:
+            _, evicted = self._results.popitem(last=False)
+            self._result_bytes -= sum(len(item.text) for item in evicted.values())
 
     async def _load(self, job: jobs.Job, position: int) -> list[jobs.ItemResult]:
         lock = self._locks.setdefault(job.job_id, asyncio.Lock())
@@ -122,16 +122,16 @@
                 loaded = await self._changes.load_results(
                     job.job_id, missing[0], missing[-1] + 1
                 )
-                self.keep_results(job.job_id, loaded)
+                self.cache_results(job.job_id, loaded)
                 known = self._results[job.job_id]
         if not lock.locked():
             self._locks.pop(job.job_id, None)
-        return self._cut(job, known, position)
+        return self._select_page(job, known, position)
 
-    def _cut(
+    def _select_page(
         self, job: jobs.Job, known: dict[int, jobs.ItemResult], position: int
     ) -> list[jobs.ItemResult]:
-        """Return the results from a position on that fit one answer."""
+        """Return the results from a position on that fit into one response."""
         results: list[jobs.ItemResult] = []
         size = 0
         for number in range(position, job.listed):
@@ -141,7 +141,7 @@
                     raise failures.StoreRefused("load_results", "a result is missing")
                 break
             size += len(result.text)
-            if results and size > _ANSWER_BYTES:
+            if results and size > _MAX_RESPONSE_BYTES:
                 break
             results.append(result)
         return results
--- a/src/endivevane/serving/job_registry.py
+++ b/src/endivevane/serving/job_registry.py
@@ -1,4 +1,4 @@
-"""All batch jobs that the store holds, kept current by following its rows."""
+"""In-memory registry of all batch jobs, updated from the store's rows."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class BookEntry:
+class JobEntry:
     """A job at a version of its row.
 
-    :param changed_s: monotonic time at which this daemon learned of the version
+    :param changed_s: monotonic time at which this daemon received the version
     """
 
     job: jobs.Job
@@ -25,19 +25,19 @@
 
 
 class JobRegistry:
-    """Indexes jobs by id and wakes those who wait for news of one."""
+    """Indexes jobs by id and notifies waiters and observers of changes."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, BookEntry] = {}
+        self.entries: dict[str, JobEntry] = {}
         self._watchers: dict[str, set[asyncio.Event]] = collections.defaultdict(set)
-        self._observers: list[abc.Callable[[BookEntry], None]] = []
+        self._observers: list[abc.Callable[[JobEntry], None]] = []
 
-    def call_when_changed(self, function: abc.Callable[[BookEntry], None]) -> None:
-        """Call a function for each new version of a job."""
+    def call_when_changed(self, function: abc.Callable[[JobEntry], None]) -> None:
+        """Register a function to call for each new version of a job."""
         self._observers.append(function)
 
     def apply(self, row: store.Row) -> None:
-        """Take in the row of a job."""
+        """Apply an update of a job's row."""
         job_id = row.row_key.key.removeprefix(jobs.JOB_PREFIX)
         if row.value is None:
             self.entries.pop(job_id, None)
@@ -48,14 +48,14 @@
         except ValueError as error:
             logs.error("job_row_unreadable", job=job_id, cause=error)
             return
-        entry = BookEntry(job, row.version, time.monotonic())
+        entry = JobEntry(job, row.version, time.monotonic())
         self.entries[job_id] = entry
         self._wake(job_id)
         for function in self._observers:
             function(entry)
 
     def count_waiting_tokens(self, route: str) -> int:
-        """Return the tokens of a route's items that have no result yet."""
+        """Return the number of tokens of a route's items without a result."""
         return sum(
             entry.job.tokens_left
             for entry in self.entries.values()
@@ -63,7 +63,7 @@
         )
 
     async def wait_for_change(self, job_id: str, timeout_s: float) -> None:
-        """Wait until the row of a job changes."""
+        """Wait until the row of a job changes or the timeout expires."""
         event = asyncio.Event()
         self._watchers[job_id].add(event)
         try:
--- a/src/endivevane/serving/job_runner.py
+++ b/src/endivevane/serving/job_runner.py
@@ -1,4 +1,4 @@
-"""Running the items of the jobs that this daemon owns, in the gaps of online load."""
+"""Execution of the items of owned jobs, on capacity that online load leaves free."""
 
 from __future__ import annotations
 
@@ -33,23 +33,23 @@
     target_selection,
 )
 
-# Least time between two rounds where places come one by one.
-_SHORTEST_ROUND_S = 0.005
-# Pause of an item after its run broke, doubled with each break in a row.
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 4.0
-# After this time without a route in the newest configuration an item is given up: a
-# daemon may lag behind the operator for nearly as long while the store is in trouble.
-_ROUTE_GONE_S = 12.5
-# How long the last results and the hand-over may take when the daemon stops.
-_HAND_BACK_S = 4.0
+# Minimum interval of rounds while a coordinator grants the slots one by one.
+_MIN_ROUND_INTERVAL_S = 0.005
+# Back-off of an item after a broken run, doubled with each run without progress.
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 4.0
+# An item without a route in the newest configuration fails after this time. While the
+# store is degraded, a daemon's configuration may be out of date for nearly as long.
+_ROUTE_MISSING_LIMIT_S = 12.5
+# Time limit for committing results and releasing jobs when the daemon stops.
+_RELEASE_TIMEOUT_S = 4.0
 
-Routes = abc.Callable[[], routing_table.RoutingTable | None]
+RoutingTableGetter = abc.Callable[[], routing_table.RoutingTable | None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerDependencies:
-    """What the runner works with."""
+    """Collaborators of the job runner."""
 
     targets: target_registry.TargetRegistry
     load_table: load_table.LoadTable
@@ -59,26 +59,30 @@
     row_store: store.Store
     changes: job_changes.JobChanges
     reader: job_reader.JobReader
-    routes: Routes
+    routes: RoutingTableGetter
     encode_headers: item_sender.HeaderEncoder
     generator: random.Random
     owner: str
 
 
 class JobRunner:
-    """Runs items where there is room and gives way to online requests."""
+    """Runs items in free slots and preempts them for online requests."""
 
-    def __init__(self, parts: RunnerDependencies) -> None:
-        self._parts = parts
+    def __init__(self, dependencies: RunnerDependencies) -> None:
+        self._dependencies = dependencies
         self._owned: dict[str, owned_jobs.OwnedJob] = {}
         self._wake = asyncio.Event()
         self._is_stopping = False
-        self._pace = item_estimates.ItemEstimator()
+        self._estimates = item_estimates.ItemEstimator()
         self._sender = item_sender.ItemSender(
-            parts.targets, parts.caller, parts.encode_headers
+            dependencies.targets, dependencies.caller, dependencies.encode_headers
         )
         self._commits = result_commits.ResultCommitter(
-            parts.row_store, parts.changes, parts.reader, parts.owner, self._release
+            dependencies.row_store,
+            dependencies.changes,
+            dependencies.reader,
+            dependencies.owner,
+            self._release,
         )
 
     @property
@@ -86,147 +90,147 @@
         """Ids of the jobs that this daemon runs."""
         return self._owned.keys()
 
-    def adopt(
+    def start_job(
         self,
-        entry: job_registry.BookEntry,
+        entry: job_registry.JobEntry,
         items: tuple[jobs.Item, ...],
-        taken: jobs.Taken | None = None,
+        stored: jobs.JobProgress | None = None,
     ) -> None:
-        """Run the items of a job that this daemon owns, unless it does so already.
+        """Run the items of a job that this daemon owns, unless they are running.
 
-        :param taken: what former owners have done
+        :param stored: work that earlier owners have stored
         """
         if entry.job.job_id in self._owned:
             return
-        owned = owned_jobs.make_owned_job(entry, items, taken or jobs.Taken())
+        owned = owned_jobs.make_owned_job(entry, items, stored or jobs.JobProgress())
         self._owned[entry.job.job_id] = owned
         self.wake()
 
     def preempt_slot(self, number: int) -> None:
-        """Cancel the item of a place, as the coordinator asks."""
+        """Cancel the item in a slot, on request of the coordinator."""
         for owned in self._owned.values():
             for run in owned.list_running():
-                if run.place is None or run.place.number != number:
+                if run.slot is None or run.slot.number != number:
                     continue
                 if run.task is not None:
                     run.task.cancel()
                 return
 
     def wake(self) -> None:
-        """Look for work that can start."""
+        """Start the next round without waiting for its interval."""
         self._wake.set()
 
-    def apply_change(self, entry: job_registry.BookEntry) -> None:
-        """Take in a new version of a job, which may end it or move it elsewhere."""
+    def apply_change(self, entry: job_registry.JobEntry) -> None:
+        """Apply a new version of a job, which may end it or change its owner."""
         owned = self._owned.get(entry.job.job_id)
         if owned is None or entry.version <= owned.entry.version:
             return
-        if entry.job.is_open and entry.job.owner == self._parts.owner:
+        if entry.job.is_open and entry.job.owner == self._dependencies.owner:
             owned.entry = entry
             return
         cause = "moved" if entry.job.is_open else entry.job.state.value
         self._release(owned, cause)
 
     async def run(self) -> None:
-        """Start items and make them give way until cancelled."""
+        """Start and preempt items until cancelled."""
         while True:
             if not self._owned:
-                self._parts.load_table.own_waiting_items = 0
-                self._parts.slots.begin_round({})
+                self._dependencies.load_table.own_waiting_items = 0
+                self._dependencies.slots.begin_round({})
                 self._wake.clear()
                 await self._wake.wait()
             now_s = time.monotonic()
-            self._give_way()
+            self._preempt()
             if self._is_stopping:
-                self._parts.slots.begin_round({})
+                self._dependencies.slots.begin_round({})
             else:
                 self._start_items()
-                self._commits.store_progress_soon(self._owned.values(), now_s)
-            self._count_waiting()
-            await self._pause()
+                self._commits.store_progress_if_due(self._owned.values(), now_s)
+            self._publish_waiting_count()
+            await self._wait_for_round()
 
-    async def _pause(self) -> None:
+    async def _wait_for_round(self) -> None:
         """Wait for the next round."""
-        round_s = self._parts.slots.round_interval_s
-        if not self._parts.slots.is_coordinated:
-            # What the others see of the last changes is as old as their reports.
+        round_s = self._dependencies.slots.round_interval_s
+        if not self._dependencies.slots.is_coordinated:
+            # Peers see the effect of the last round only after the next reports.
             await asyncio.sleep(round_s)
             return
-        await asyncio.sleep(_SHORTEST_ROUND_S)
+        await asyncio.sleep(_MIN_ROUND_INTERVAL_S)
         self._wake.clear()
         try:
             async with asyncio.timeout(round_s):
                 await self._wake.wait()
         except TimeoutError:
-            # Nothing has come: asks are repeated and progress is stored.
+            # The next round repeats slot requests and stores progress.
             return
 
     async def release_jobs(self) -> None:
-        """Stop all items and leave the jobs, with their progress, to other daemons."""
+        """Stop all items, store their progress, and release the jobs to the others."""
         self._is_stopping = True
         for owned in self._owned.values():
             owned.cancel_runs()
-        # The cancelled runs end before their progress is read.
+        # Lets the cancelled runs end before their progress is read.
         await asyncio.sleep(0)
-        until_s = time.monotonic() + _HAND_BACK_S
+        until_s = time.monotonic() + _RELEASE_TIMEOUT_S
         pending = [item.committing for item in self._owned.values() if item.committing]
         if pending:
-            await asyncio.wait(pending, timeout=_HAND_BACK_S)
+            await asyncio.wait(pending, timeout=_RELEASE_TIMEOUT_S)
         await self._commits.store_progress(list(self._owned.values()))
         for owned in list(self._owned.values()):
             job = owned.entry.job
-            given = dataclasses.replace(
+            released = dataclasses.replace(
                 job,
                 owner="",
                 epoch=job.epoch + 1,
                 operation=secrets.token_hex(8),
                 failed_runs=owned.count_failed_runs(),
             )
-            await self._parts.changes.replace(owned.entry, given, until_s)
+            await self._dependencies.changes.replace(owned.entry, released, until_s)
 
     def _start_items(self) -> None:
         now_s = time.monotonic()
-        table = self._parts.routes()
+        table = self._dependencies.routes()
         if table is None:
             return
-        wishes = []
+        requests = []
         waiting: collections.Counter[str] = collections.Counter()
         for urgency, owned, run in self._list_ready(now_s):
             route = table.find(owned.entry.job.host, run.item.path)
             if route is None:
-                self._note_no_route(owned, run, now_s)
+                self._handle_missing_route(owned, run, now_s)
                 continue
             run.routeless_since_s = 0.0
-            service = routing_table.choose_service(route, self._parts.generator)
+            service = routing_table.choose_service(route, self._dependencies.generator)
             waiting[service] += 1
-            wishes.append((urgency, owned, run, route, service))
-        self._parts.load_table.own_waiting_items = waiting.total()
-        places_now = self._parts.slots.begin_round(waiting)
-        for urgency, owned, run, route, service in wishes:
-            place = places_now.find(service, urgency, _find_left_s(owned))
-            if place is not None:
-                self._start(owned, run, route, place)
-
-    def _note_no_route(
+            requests.append((urgency, owned, run, route, service))
+        self._dependencies.load_table.own_waiting_items = waiting.total()
+        slot_round = self._dependencies.slots.begin_round(waiting)
+        for urgency, owned, run, route, service in requests:
+            slot = slot_round.find(service, urgency, _get_time_left_s(owned))
+            if slot is not None:
+                self._start(owned, run, route, slot)
+
+    def _handle_missing_route(
         self, owned: owned_jobs.OwnedJob, run: owned_jobs.ItemRun, now_s: float
     ) -> None:
-        """Give an item up whose route the operator has removed for good."""
+        """Fail an item whose route has been missing for too long."""
         if not run.routeless_since_s:
             run.routeless_since_s = now_s
-        if now_s - run.routeless_since_s < _ROUTE_GONE_S:
+        if now_s - run.routeless_since_s < _ROUTE_MISSING_LIMIT_S:
             return
         logs.limited_info("item_without_route", job=owned.job_id, item=run.item.item_id)
-        self._finish(owned, run, is_completed=False, text="")
+        self._complete(owned, run, is_completed=False, text="")
 
     def _list_ready(
         self, now_s: float
     ) -> list[tuple[item_estimates.Urgency, owned_jobs.OwnedJob, owned_jobs.ItemRun]]:
-        """Return the items that may start, in the order in which they should."""
+        """Return the items that may start, most urgent first."""
         ready = []
         for owned in self._owned.values():
             for run in owned.list_ready(now_s):
-                ready.append((self._rate(owned, run), owned, run))
-        # Items that have begun go before others of the same due time.
+                ready.append((self._classify_urgency(owned, run), owned, run))
+        # Of items with the same due time, those with more progress go first.
         ready.sort(
             key=lambda entry: (
                 entry[0],
@@ -236,15 +240,15 @@
         )
         return ready
 
-    def _rate(
+    def _classify_urgency(
         self, owned: owned_jobs.OwnedJob, run: owned_jobs.ItemRun
     ) -> item_estimates.Urgency:
-        return self._pace.classify_urgency(run.last_event, _find_left_s(owned))
+        return self._estimates.classify_urgency(run.last_event, _get_time_left_s(owned))
 
-    def _count_waiting(self) -> None:
-        """Tell the others how many items could start."""
+    def _publish_waiting_count(self) -> None:
+        """Publish the number of items that could start to the other daemons."""
         now_s = time.monotonic()
-        self._parts.load_table.own_waiting_items = sum(
+        self._dependencies.load_table.own_waiting_items = sum(
             len(owned.list_ready(now_s)) for owned in self._owned.values()
         )
 
@@ -253,33 +257,33 @@
         owned: owned_jobs.OwnedJob,
         run: owned_jobs.ItemRun,
         route: model.Route,
-        place: slot_registry.Slot,
+        slot: slot_registry.Slot,
     ) -> None:
-        run.place = place
+        run.slot = slot
         run.started_s = time.monotonic()
-        run.task = asyncio.ensure_future(self._run_item(owned, run, route, place))
+        run.task = asyncio.ensure_future(self._run_item(owned, run, route, slot))
 
-    def _give_way(self) -> None:
-        """Cancel items on targets that online requests fill."""
-        if self._parts.slots.is_coordinated:
+    def _preempt(self) -> None:
+        """Cancel items on targets that online requests need, without a coordinator."""
+        if self._dependencies.slots.is_coordinated:
             return
         by_target: dict[str, list[preemption.Candidate[owned_jobs.ItemRun]]] = {}
         for owned in self._owned.values():
             for run in owned.list_running():
                 candidate = preemption.Candidate(
-                    run, self._rate(owned, run), run.started_s
+                    run, self._classify_urgency(owned, run), run.started_s
                 )
-                target_id = run.place.target.target_id if run.place else ""
+                target_id = run.slot.target.target_id if run.slot else ""
                 by_target.setdefault(target_id, []).append(candidate)
         for target_id, running in by_target.items():
-            known = self._parts.targets.find(target_id)
+            known = self._dependencies.targets.find(target_id)
             if known is None:
                 continue
-            surplus = self._parts.choices.count_to_preempt(known.target)
+            surplus = self._dependencies.choices.count_to_preempt(known.target)
             if surplus <= 0:
                 continue
-            self._parts.slots.record_preemption(target_id)
-            batch = self._parts.load_table.total(target_id).batch
+            self._dependencies.slots.record_preemption(target_id)
+            batch = self._dependencies.load_table.total(target_id).batch
             for run in preemption.choose_items(running, surplus, batch):
                 if run.task is not None:
                     run.task.cancel()
@@ -289,23 +293,23 @@
         owned: owned_jobs.OwnedJob,
         run: owned_jobs.ItemRun,
         route: model.Route,
-        place: slot_registry.Slot,
+        slot: slot_registry.Slot,
     ) -> None:
-        target = place.target
-        end = item_sender.RunEnd.YIELDED
-        started_at = run.last_event
+        target = slot.target
+        end = item_sender.RunEnd.PREEMPTED
+        first_event = run.last_event
         status = 0
         try:
             end, status = await self._sender.send(owned.entry.job, run, target)
         except failures.TargetCallError as error:
-            end = self._note_failed_call(owned, run, error)
+            end = self._record_failed_call(owned, run, error)
         finally:
             run_s = time.monotonic() - run.started_s
-            self._pace.record_run(run.last_event - started_at, run_s)
+            self._estimates.record_run(run.last_event - first_event, run_s)
             run.task = None
-            run.place = None
-            self._parts.slots.release(place, run_s)
-            self._settle(owned, run, route, end, run.last_event > started_at)
+            run.slot = None
+            self._dependencies.slots.release(slot, run_s)
+            self._finish_run(owned, run, route, end, run.last_event > first_event)
             metrics.BATCH_ITEMS.labels(end.value).inc()
             logs.limited_info(
                 "item_run_ended",
@@ -319,17 +323,17 @@
             )
             self.wake()
 
-    def _note_failed_call(
+    def _record_failed_call(
         self,
         owned: owned_jobs.OwnedJob,
         run: owned_jobs.ItemRun,
         error: failures.TargetCallError,
     ) -> item_sender.RunEnd:
-        """Log a call without a whole answer and return how the run ended."""
+        """Log a call without a complete response and return how the run ended."""
         if error.is_target_fault:
-            # Answers of failure may be due to the item, broken ones are not.
+            # An error status may be caused by the item; a broken response is not.
             now_s = time.monotonic()
-            self._parts.load_table.outcomes.record(error.target_id, now_s, 1.0)
+            self._dependencies.load_table.outcomes.record(error.target_id, now_s, 1.0)
         logs.limited_info(
             "item_run_failed",
             job=owned.job_id,
@@ -342,7 +346,7 @@
             return item_sender.RunEnd.BROKEN
         return item_sender.RunEnd.NOT_RUN
 
-    def _settle(
+    def _finish_run(
         self,
         owned: owned_jobs.OwnedJob,
         run: owned_jobs.ItemRun,
@@ -350,29 +354,31 @@
         end: item_sender.RunEnd,
         has_advanced: bool,
     ) -> None:
-        """Decide what follows a run."""
+        """Complete an item after a run, or schedule its next run."""
         if run.item.item_id not in owned.runs:
             return
-        if end is item_sender.RunEnd.WHOLE:
-            self._pace.record_item(run.last_event)
+        if end is item_sender.RunEnd.COMPLETED:
+            self._estimates.record_item(run.last_event)
             text = b"\n".join(run.pieces).decode("utf-8", errors="replace")
-            self._finish(owned, run, is_completed=True, text=text)
+            self._complete(owned, run, is_completed=True, text=text)
             return
         if end is item_sender.RunEnd.FAILED:
             run.failed += 1
-        is_impossible = end is item_sender.RunEnd.IMPOSSIBLE
-        if is_impossible or run.failed >= max(1, route.max_attempts):
-            self._finish(owned, run, is_completed=False, text="")
+        is_unprocessable = end is item_sender.RunEnd.UNPROCESSABLE
+        if is_unprocessable or run.failed >= max(1, route.max_attempts):
+            self._complete(owned, run, is_completed=False, text="")
             return
-        if end is item_sender.RunEnd.YIELDED:
+        if end is item_sender.RunEnd.PREEMPTED:
             return
-        run.breaks = 0 if has_advanced else run.breaks + 1
-        pause_s = min(_LONGEST_PAUSE_S, _FIRST_PAUSE_S * 2 ** min(run.breaks, 6))
+        run.stalled_runs = 0 if has_advanced else run.stalled_runs + 1
+        backoff_s = min(
+            _MAX_BACKOFF_S, _INITIAL_BACKOFF_S * 2 ** min(run.stalled_runs, 6)
+        )
         if end is item_sender.RunEnd.NOT_RUN:
-            pause_s = _FIRST_PAUSE_S
-        run.not_before_s = time.monotonic() + pause_s
+            backoff_s = _INITIAL_BACKOFF_S
+        run.not_before_s = time.monotonic() + backoff_s
 
-    def _finish(
+    def _complete(
         self,
         owned: owned_jobs.OwnedJob,
         run: owned_jobs.ItemRun,
@@ -384,7 +390,7 @@
         self._commits.add(owned, result)
 
     def _release(self, owned: owned_jobs.OwnedJob, cause: str) -> None:
-        """Stop running a job that has ended or that another daemon runs."""
+        """Stop running a job that has ended or has another owner."""
         if self._owned.get(owned.job_id) is not owned:
             return
         del self._owned[owned.job_id]
@@ -395,6 +401,6 @@
             owned.committing.cancel()
 
 
-def _find_left_s(owned: owned_jobs.OwnedJob) -> float:
-    """Return the time until a job is due."""
+def _get_time_left_s(owned: owned_jobs.OwnedJob) -> float:
+    """Return the time until a job's results are due, negative when overdue."""
     return owned.entry.job.due_ms / 1000.0 - time.time()
--- a/src/endivevane/serving/job_takeover.py
+++ b/src/endivevane/serving/job_takeover.py
@@ -1,4 +1,4 @@
-"""Taking over jobs whose daemon is gone."""
+"""Takeover of jobs that have no alive owner."""
 
 from __future__ import annotations
 
@@ -20,81 +20,82 @@
 )
 
 _TICK_S = 0.25
-# The same while no job is open.
+# Interval while no job is open.
 _IDLE_TICK_S = 0.5
-# A daemon that has just started, or stood still, first hears of the others.
-_SETTLE_S = 2.0
-# A job that was claimed by somebody is left alone for this long.
-_CLAIM_LIFE_S = 2.5
-_CLAIM_LIMIT_S = 2.0
-# The store must have confirmed this daemon's view of the jobs this recently.
-_CONFIRMED_S = 4.0
+# Time to receive heartbeats after a start or a pause of the process, before peers are
+# judged to be dead.
+_WARM_UP_S = 2.0
+# A job is claimed from a dead owner only after its row was unchanged for this long.
+_CLAIM_GRACE_S = 2.5
+_CLAIM_TIMEOUT_S = 2.0
+# No claims while the store's last response is older than this.
+_MAX_STALENESS_S = 4.0
 
 
 class JobTakeover:
-    """Gives each job without a living owner to one daemon.
+    """Claims and runs jobs without an alive owner that fall to this daemon.
 
-    The rank of the daemons for a job names one of them, so that few claims collide;
-    the condition on the row's version decides between those that do.
+    Rendezvous hashing assigns each job to one active daemon, so that few claims
+    collide. Of claims that do, the condition on the row's version lets one succeed.
     """
 
     def __init__(
         self,
         identity: peer_registry.Identity,
-        members: peer_registry.PeerRegistry,
+        peers: peer_registry.PeerRegistry,
         state: follower.TableFollower,
-        book: job_registry.JobRegistry,
+        registry: job_registry.JobRegistry,
         changes: job_changes.JobChanges,
         runner: job_runner.JobRunner,
     ) -> None:
         self._identity = identity
-        self._roster = members
+        self._peers = peers
         self._state = state
-        self._book = book
+        self._registry = registry
         self._changes = changes
         self._runner = runner
-        self._settled_s = time.monotonic() + _SETTLE_S
+        self._warmed_up_s = time.monotonic() + _WARM_UP_S
         self._loading: dict[str, asyncio.Task[None]] = {}
 
     def record_process_pause(self) -> None:
-        """Hear of the others anew before the next claim."""
-        self._settled_s = time.monotonic() + _SETTLE_S
+        """Wait for new heartbeats of the peers before the next claim."""
+        self._warmed_up_s = time.monotonic() + _WARM_UP_S
 
     async def run(self) -> None:
-        """Look for jobs to take over until cancelled."""
+        """Take over jobs until cancelled."""
         while True:
             await asyncio.sleep(_TICK_S if self._has_open() else _IDLE_TICK_S)
             now_s = time.monotonic()
-            if now_s < self._settled_s or self._roster.is_stopping:
+            if now_s < self._warmed_up_s or self._peers.is_stopping:
                 continue
-            if not self._state.is_confirmed(now_s, _CONFIRMED_S):
+            if not self._state.is_confirmed(now_s, _MAX_STALENESS_S):
                 continue
-            if not self._roster.is_membership_current(now_s):
+            if not self._peers.is_membership_current(now_s):
                 continue
-            for job_id, entry in list(self._book.entries.items()):
+            for job_id, entry in list(self._registry.entries.items()):
                 if job_id in self._loading or job_id in self._runner.owned:
                     continue
-                if entry.job.is_open and self._is_ours(entry, now_s):
+                if entry.job.is_open and self._is_assigned(entry, now_s):
                     task = asyncio.ensure_future(self._take_over(entry))
                     self._loading[job_id] = task
 
     def _has_open(self) -> bool:
-        return any(entry.job.is_open for entry in self._book.entries.values())
+        return any(entry.job.is_open for entry in self._registry.entries.values())
 
-    def _is_ours(self, entry: job_registry.BookEntry, now_s: float) -> bool:
-        """Whether this daemon should run a job."""
+    def _is_assigned(self, entry: job_registry.JobEntry, now_s: float) -> bool:
+        """Return whether this daemon should run a job."""
         job = entry.job
         if job.owner == self._identity.owner:
             return True
         name, _, incarnation = job.owner.partition("/")
-        if name and self._roster.is_alive(name, incarnation):
+        if name and self._peers.is_alive(name, incarnation):
             return False
-        if name and now_s - entry.changed_s < _CLAIM_LIFE_S:
+        if name and now_s - entry.changed_s < _CLAIM_GRACE_S:
             return False
-        members = dict.fromkeys(self._roster.list_active(), 1.0)
-        return rendezvous.choose_member(job.job_id, members) == self._identity.name
+        peers = dict.fromkeys(self._peers.list_active(), 1.0)
+        return rendezvous.choose_member(job.job_id, peers) == self._identity.name
 
-    async def _take_over(self, entry: job_registry.BookEntry) -> None:
+    async def _take_over(self, entry: job_registry.JobEntry) -> None:
         job_id = entry.job.job_id
         try:
             if entry.job.owner != self._identity.owner:
@@ -110,7 +111,7 @@
             return
         finally:
             del self._loading[job_id]
-        latest = self._book.entries.get(job_id)
+        latest = self._registry.entries.get(job_id)
         if latest is None or latest.job.owner != self._identity.owner:
             return
         if len(results) != latest.job.listed or not latest.job.is_open:
@@ -124,20 +125,23 @@
             epoch=latest.job.epoch,
             version=latest.version,
         )
-        self._runner.adopt(latest, items, jobs.Taken(done, progress))
+        self._runner.start_job(latest, items, jobs.JobProgress(done, progress))
 
     async def _claim(
-        self, entry: job_registry.BookEntry
-    ) -> job_registry.BookEntry | None:
-        """Become the owner of a job; ``None`` when another daemon was faster."""
+        self, entry: job_registry.JobEntry
+    ) -> job_registry.JobEntry | None:
+        """Become the owner of a job.
+
+        :returns: ``None`` when another daemon claimed it first, or in case of doubt
+        """
         claim = dataclasses.replace(
             entry.job,
             owner=self._identity.owner,
             epoch=entry.job.epoch + 1,
             operation=secrets.token_hex(8),
         )
-        until_s = time.monotonic() + _CLAIM_LIMIT_S
-        stands = await self._changes.replace(entry, claim, until_s)
-        if stands is None or stands.job.owner != self._identity.owner:
+        until_s = time.monotonic() + _CLAIM_TIMEOUT_S
+        current = await self._changes.replace(entry, claim, until_s)
+        if current is None or current.job.owner != self._identity.owner:
             return None
-        return stands
+        return current
--- a/src/endivevane/serving/jobs.py
+++ b/src/endivevane/serving/jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs as the store keeps them."""
+"""Stored form of batch jobs: keys, rows and their encodings."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from endivevane.serving import store
 
-# One partition holds all rows that change together with a job.
+# A single partition, so that one transaction can change all rows of a job.
 PARTITION = ""
 STATE_TABLE = "state"
 PAYLOAD_TABLE = "payloads"
@@ -21,17 +21,18 @@
 JOB_PREFIX = "job/"
 MEMBER_PREFIX = "member/"
 QUOTA_PREFIX = "quota/"
-# Bytes of a row before base64, which makes 64,000 of them.
+# Largest row value before base64, which expands it to 64,000 bytes.
 ROW_BYTES = 48_000
-# Payloads above this size go to an object: a transaction holds 1 MB with its base64.
+# Larger payloads become objects: a transaction is limited to 1 MB after base64.
 INLINE_BYTES = 600_000
 _COMPRESSION_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """How far an item without a result has come.
+    """Partial output of an item that has no result yet.
 
+    :param last_event: number of the last event received
     :param pieces: data of the events up to the last one
     """
 
@@ -40,11 +41,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Taken:
-    """What former owners have done of a job.
+class JobProgress:
+    """Work on a job that earlier owners have stored.
 
     :param done: ids of the items that have results
-    :param progress: progress of others, by id
+    :param progress: progress of unfinished items, by id
     """
 
     done: frozenset[str] = frozenset()
@@ -52,7 +53,7 @@
 
 
 class JobState(enum.StrEnum):
-    """Whether a job still runs."""
+    """State of a job: ``ENDED`` was stopped by a client, ``DONE`` has all results."""
 
     OPEN = "open"
     DONE = "done"
@@ -63,8 +64,7 @@
 class Item:
     """One request of a job.
 
-    :param headers: its headers by name
-    :param tokens: tokens of the prompt and the longest output
+    :param tokens: prompt tokens plus the maximum output tokens
     """
 
     item_id: str
@@ -78,7 +78,7 @@
 class ItemResult:
     """The final result of an item.
 
-    :param text: data of all events, joined by line feeds
+    :param text: data of all events, joined by newlines
     """
 
     item_id: str
@@ -90,16 +90,16 @@
 class Job:
     """The row of a job.
 
-    :param path: path of the submission, which finds the route
+    :param path: request path of the submission, which selects the route
     :param created_ms: Unix time of the submission
     :param due_ms: Unix time at which the results are due
-    :param chunks: rows of the payload, 0 if it is an object
+    :param chunks: number of payload rows, 0 if the payload is an object
     :param owner: daemon and incarnation that run the job, empty for none
-    :param epoch: number of changes of the owner
-    :param listed: results that have positions
+    :param epoch: incremented with each change of the owner
+    :param listed: number of results that have a position
     :param tokens_left: tokens of the items without a result
-    :param operation: names the change that wrote the row
-    :param failed_runs: answers of failure by item, of items without a result
+    :param operation: unique id of the change that wrote the row
+    :param failed_runs: failed runs by item id, for items without a result
     """
 
     job_id: str
@@ -174,7 +174,7 @@
 
 
 def encode_items(items: abc.Sequence[Item]) -> bytes:
-    """Return a job's payload, compressed."""
+    """Return a job's payload: headers and bodies of its items, compressed."""
     head = [
         (item.item_id, item.path, dict(item.headers), item.tokens, len(item.body))
         for item in items
@@ -206,7 +206,7 @@
 
 
 def decode_result(content: bytes) -> ItemResult:
-    """Return a result from its rows' joined value."""
+    """Return a result from the concatenated values of its rows."""
     item_id, is_completed, text = orjson.loads(zlib.decompress(content))
     return ItemResult(item_id, is_completed, text)
 
@@ -238,7 +238,7 @@
 def split_rows(
     table: str, prefix: str, content: bytes
 ) -> list[tuple[store.RowKey, bytes]]:
-    """Return the rows that hold a content, in the order of their keys."""
+    """Split content into rows, in key order."""
     pieces = [
         content[start : start + ROW_BYTES]
         for start in range(0, max(1, len(content)), ROW_BYTES)
@@ -250,12 +250,12 @@
 
 
 def make_result_prefix(job_id: str, position: int) -> str:
-    """Return how the keys of a result's rows begin."""
+    """Return the key prefix of a result's rows."""
     return f"{job_id}/{position:06d}"
 
 
 def join_results(rows: abc.Iterable[store.Row]) -> dict[int, ItemResult]:
-    """Return results by position from their rows, which are in order."""
+    """Return results by position from their rows, which must be in key order."""
     contents: dict[int, bytes] = {}
     for row in rows:
         position = int(row.row_key.key.split("/")[-2])
--- a/src/endivevane/serving/owned_jobs.py
+++ b/src/endivevane/serving/owned_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that this daemon runs, and how far their items have come."""
+"""Jobs that this daemon runs, and the progress of their items."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class ItemRun:
-    """An item without a result, and how far it has come.
+    """An item without a result, and its progress.
 
-    :ivar pieces: data of the events so far
+    :ivar pieces: data of the events received so far
     :ivar last_event: number of the last event, 0 for none
     :ivar stored_event: number of the last event whose data the store holds
-    :ivar failed: answers of failure
-    :ivar breaks: runs in a row that brought nothing
-    :ivar not_before_s: monotonic time of the next run
-    :ivar routeless_since_s: monotonic time since which no route leads to a service, 0
-        while one does
-    :ivar place: where it runs, ``None`` while it does not
-    :ivar started_s: monotonic time of its start
+    :ivar failed: number of runs that the target answered with an error status
+    :ivar stalled_runs: consecutive runs without a new event
+    :ivar not_before_s: earliest monotonic time of the next run
+    :ivar routeless_since_s: monotonic time since which the item has no route, 0 while
+        it has one
+    :ivar slot: slot that it occupies, ``None`` while it does not run
+    :ivar started_s: monotonic time at which the current run started
     """
 
     item: jobs.Item
@@ -29,15 +29,15 @@
     last_event: int = 0
     stored_event: int = 0
     failed: int = 0
-    breaks: int = 0
+    stalled_runs: int = 0
     not_before_s: float = 0.0
     routeless_since_s: float = 0.0
-    place: slot_registry.Slot | None = None
+    slot: slot_registry.Slot | None = None
     started_s: float = 0.0
     task: asyncio.Task[None] | None = None
 
-    def take(self, event: sse.Event) -> bool:
-        """Add an event; return whether it follows the last one."""
+    def add_event(self, event: sse.Event) -> bool:
+        """Add an event, unless it is a duplicate; return ``False`` after a gap."""
         if event.event_id.isdigit():
             number = int(event.event_id)
             if number <= self.last_event:
@@ -50,7 +50,7 @@
         return True
 
     def restore(self, progress: jobs.Progress) -> None:
-        """Go on behind what a former owner has stored."""
+        """Resume from the progress that an earlier owner has stored."""
         self.pieces = list(progress.pieces)
         self.last_event = progress.last_event
         self.stored_event = progress.last_event
@@ -61,26 +61,26 @@
     """A job that this daemon runs.
 
     :ivar runs: items without a result, by id
-    :ivar results: results that the store does not have yet
-    :ivar committing: task that stores results, ``None`` while there are none
+    :ivar results: results not yet committed to the store
+    :ivar committing: task that commits results, ``None`` while there are none
     """
 
-    entry: job_registry.BookEntry
+    entry: job_registry.JobEntry
     runs: dict[str, ItemRun]
     results: list[jobs.ItemResult] = dataclasses.field(default_factory=list)
     committing: asyncio.Task[None] | None = None
 
     @property
     def job_id(self) -> str:
-        """The job's id."""
+        """Id of the job."""
         return self.entry.job.job_id
 
     def count_failed_runs(self) -> dict[str, int]:
-        """Return the answers of failure by item, which the next owner goes on from."""
+        """Return the failed runs by item id, which are stored for the next owner."""
         return {item_id: run.failed for item_id, run in self.runs.items() if run.failed}
 
     def list_ready(self, now_s: float) -> list[ItemRun]:
-        """Return the items that may start."""
+        """Return the items that may start now."""
         return [
             run
             for run in self.runs.values()
@@ -88,32 +88,32 @@
         ]
 
     def list_running(self) -> list[ItemRun]:
-        """Return the items that run."""
+        """Return the items that are running."""
         return [run for run in self.runs.values() if run.task is not None]
 
     def cancel_runs(self) -> None:
-        """Stop all items; what they have brought is kept."""
+        """Cancel all running items; the events received so far are kept."""
         for run in self.list_running():
             if run.task is not None:
                 run.task.cancel()
 
 
 def make_owned_job(
-    entry: job_registry.BookEntry,
+    entry: job_registry.JobEntry,
     items: tuple[jobs.Item, ...],
-    taken: jobs.Taken,
+    stored: jobs.JobProgress,
 ) -> OwnedJob:
-    """Return a job to run.
+    """Return a job with a run for each unfinished item.
 
-    :param taken: what former owners have done
+    :param stored: work that earlier owners have stored
     """
     failed = entry.job.failed_runs
     runs = {}
     for item in items:
-        if item.item_id in taken.done:
+        if item.item_id in stored.done:
             continue
         run = ItemRun(item, failed=failed.get(item.item_id, 0))
-        progress = taken.progress.get(item.item_id)
+        progress = stored.progress.get(item.item_id)
         if progress is not None:
             run.restore(progress)
         runs[item.item_id] = run
--- a/src/endivevane/serving/result_commits.py
+++ b/src/endivevane/serving/result_commits.py
@@ -1,4 +1,4 @@
-"""Storing the results of items, and how far the others have come."""
+"""Storing of item results and of the progress of unfinished items."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     store,
 )
 
-# Results and bytes that one transaction takes.
-_RESULTS_AT_ONCE = 12
-_BYTES_AT_ONCE = 400_000
-_FOREVER_S = float("inf")
-# How often the progress of running items is stored, and how many new events it takes:
-# what a crash loses of an item is at most about this much.
-_PROGRESS_S = 2.0
-_PROGRESS_EVENTS = 16
-_PROGRESS_ROWS = 40
+# Limits of one transaction.
+_MAX_RESULTS = 12
+_MAX_BYTES = 400_000
+_NO_DEADLINE_S = float("inf")
+# Interval of storing the progress of running items, and the new events that an item
+# must have. A crash loses at most about this much of an item.
+_PROGRESS_INTERVAL_S = 2.0
+_MIN_NEW_EVENTS = 16
+_MAX_PROGRESS_ROWS = 40
 
 Release = abc.Callable[[owned_jobs.OwnedJob, str], None]
 
 
 class ResultCommitter:
-    """Commits results with the row of their job, and the progress of items beside it.
+    """Commits results together with the job's row, and item progress separately.
 
-    :param release: called with a job that this daemon no longer runs, and the cause
+    :param release: called with a job that this daemon must stop running, and the cause
     """
 
     def __init__(
@@ -50,30 +50,33 @@
         self._reader = reader
         self._owner = owner
         self._release = release
-        self._progress_s = 0.0
-        self._storing: asyncio.Task[None] | None = None
+        self._progress_started_s = 0.0
+        self._progress_task: asyncio.Task[None] | None = None
 
     def add(self, owned: owned_jobs.OwnedJob, result: jobs.ItemResult) -> None:
-        """Store a result soon, with others that come meanwhile."""
+        """Queue a result to be committed, batched with later ones."""
         owned.results.append(result)
         if owned.committing is None:
             owned.committing = asyncio.ensure_future(self._commit(owned))
 
-    def store_progress_soon(
+    def store_progress_if_due(
         self, owned_all: abc.Iterable[owned_jobs.OwnedJob], now_s: float
     ) -> None:
-        """Store the progress of running items if it is time to."""
-        if now_s - self._progress_s < _PROGRESS_S or self._storing is not None:
+        """Start to store the progress of unfinished items if it is due."""
+        if (
+            now_s - self._progress_started_s < _PROGRESS_INTERVAL_S
+            or self._progress_task is not None
+        ):
             return
-        self._progress_s = now_s
-        puts = _list_progress(owned_all, _PROGRESS_EVENTS)
+        self._progress_started_s = now_s
+        puts = _list_progress(owned_all, _MIN_NEW_EVENTS)
         if puts:
-            self._storing = asyncio.ensure_future(self._store_progress(puts))
+            self._progress_task = asyncio.ensure_future(self._store_progress(puts))
 
     async def store_progress(
         self, owned_all: abc.Iterable[owned_jobs.OwnedJob]
     ) -> None:
-        """Store the progress of all items, before their jobs are handed back."""
+        """Store the progress of all items, before their jobs are released."""
         puts = _list_progress(owned_all, 1)
         if puts:
             await self._store_progress(puts)
@@ -83,34 +86,34 @@
         try:
             await self._store.apply(change)
         except failures.StoreFailure as error:
-            # A crash would lose a little more; the next round stores it.
+            # Retried at the next interval; until then a crash loses more progress.
             logs.limited_info("progress_not_stored", cause=error.format_message())
             return
         finally:
-            self._storing = None
+            self._progress_task = None
         for put in puts:
             put.run.stored_event = put.last_event
 
     async def _commit(self, owned: owned_jobs.OwnedJob) -> None:
-        """Store results until there are none left or the job is no longer ours."""
+        """Commit results until none are left or this daemon no longer owns the job."""
         try:
             while owned.results:
-                if not await self._commit_some(owned):
+                if not await self._commit_batch(owned):
                     return
         finally:
             owned.committing = None
 
-    async def _commit_some(self, owned: owned_jobs.OwnedJob) -> bool:
-        """Store some results; return whether the job is still run here."""
+    async def _commit_batch(self, owned: owned_jobs.OwnedJob) -> bool:
+        """Commit one batch of results; return whether the job still runs here."""
         entry = owned.entry
         job = entry.job
         batch: list[jobs.ItemResult] = []
         puts: list[tuple[store.RowKey, bytes]] = []
         size = 0
-        for result in owned.results[:_RESULTS_AT_ONCE]:
+        for result in owned.results[:_MAX_RESULTS]:
             content = jobs.encode_result(result)
             size += len(content)
-            if batch and size > _BYTES_AT_ONCE:
+            if batch and size > _MAX_BYTES:
                 break
             prefix = jobs.make_result_prefix(job.job_id, job.listed + len(batch))
             puts.extend(jobs.split_rows(jobs.RESULT_TABLE, prefix, content))
@@ -124,40 +127,42 @@
             operation=secrets.token_hex(8),
             failed_runs=owned.count_failed_runs(),
         )
-        # Sent until its outcome is known: a second change with the same results could
-        # put them at two positions.
-        stands = await self._changes.replace(entry, advanced, _FOREVER_S, puts)
-        if stands is None:
+        # Retried until the outcome is known: another change with the same results
+        # could list them at two positions.
+        current = await self._changes.replace(entry, advanced, _NO_DEADLINE_S, puts)
+        if current is None:
             self._release(owned, "row is gone")
             return False
-        if stands.job.operation == advanced.operation:
-            return self._note_applied(owned, stands, batch)
+        if current.job.operation == advanced.operation:
+            return self._record_commit(owned, current, batch)
         metrics.BATCH_COMMITS.labels("conflict").inc()
-        if stands.job.is_open and stands.job.owner == self._owner:
-            owned.entry = stands
+        if current.job.is_open and current.job.owner == self._owner:
+            owned.entry = current
             return True
-        self._release(owned, "moved" if stands.job.is_open else stands.job.state.value)
+        self._release(
+            owned, "moved" if current.job.is_open else current.job.state.value
+        )
         return False
 
-    def _note_applied(
+    def _record_commit(
         self,
         owned: owned_jobs.OwnedJob,
-        stands: job_registry.BookEntry,
+        current: job_registry.JobEntry,
         batch: list[jobs.ItemResult],
     ) -> bool:
-        job = stands.job
-        owned.entry = stands
+        job = current.job
+        owned.entry = current
         del owned.results[: len(batch)]
         start = job.listed - len(batch)
-        kept = {start + number: result for number, result in enumerate(batch)}
-        self._reader.keep_results(job.job_id, kept)
+        cached = {start + number: result for number, result in enumerate(batch)}
+        self._reader.cache_results(job.job_id, cached)
         metrics.BATCH_COMMITS.labels("applied").inc()
         logs.limited_info(
             "results_stored",
             job=job.job_id,
             listed=job.listed,
             total=job.total,
-            version=stands.version,
+            version=current.version,
         )
         if job.is_open:
             return True
@@ -167,7 +172,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ProgressPut:
-    """The row of an item's progress, and what it says."""
+    """A progress row to write for an item, up to its last event."""
 
     run: owned_jobs.ItemRun
     last_event: int
@@ -176,17 +181,17 @@
 
 
 def _list_progress(
-    owned_all: abc.Iterable[owned_jobs.OwnedJob], least_events: int
+    owned_all: abc.Iterable[owned_jobs.OwnedJob], min_new_events: int
 ) -> list[_ProgressPut]:
-    """Return the progress rows to write, of items with enough new events."""
+    """Return progress rows of items with enough new events, for one transaction."""
     puts: list[_ProgressPut] = []
     size = 0
     for owned in owned_all:
         for run in owned.runs.values():
-            if run.last_event - run.stored_event < least_events:
+            if run.last_event - run.stored_event < min_new_events:
                 continue
             value = jobs.encode_progress(jobs.Progress(run.last_event, run.pieces))
-            is_full = size + len(value) > _BYTES_AT_ONCE or len(puts) >= _PROGRESS_ROWS
+            is_full = size + len(value) > _MAX_BYTES or len(puts) >= _MAX_PROGRESS_ROWS
             if is_full or len(value) > jobs.ROW_BYTES:
                 continue
             size += len(value)
--- a/src/endivevane/serving/store.py
+++ b/src/endivevane/serving/store.py
@@ -1,4 +1,4 @@
-"""What the serving tasks need of the platform's store."""
+"""Interface of the platform's store, as the serving tasks use it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowKey:
-    """Names a row; rows of one partition change in one cheap transaction."""
+    """Key of a row; a transaction within one partition is cheap."""
 
     table: str
     partition: str
@@ -20,7 +20,7 @@
 class Row:
     """A row at a version.
 
-    :param value: bytes, ``None`` for a row that was deleted
+    :param value: content, ``None`` for a deleted row
     """
 
     row_key: RowKey
@@ -30,9 +30,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowPage:
-    """Rows as of one moment.
+    """A consistent read of rows.
 
-    :param version: newest version of the store at that moment
+    :param version: version of the store that was read
     """
 
     rows: tuple[Row, ...]
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """The version that a row must have, 0 if it must not exist."""
+    """Version that a row must have for a transaction to apply, 0 for no row."""
 
     row_key: RowKey
     version: int
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Transaction:
-    """Changes that are made together or not at all."""
+    """An atomic set of changes, applied only if all conditions hold."""
 
     conditions: tuple[Condition, ...] = ()
     puts: tuple[tuple[RowKey, bytes], ...] = ()
@@ -59,19 +59,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """A transaction that took effect at a version."""
+    """Outcome of a transaction that was applied, with its version."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """A transaction that did nothing, with the rows that its conditions name."""
+    """Outcome of a transaction that was not applied, with its conditions' rows."""
 
     rows: tuple[Row, ...]
 
     def find(self, row_key: RowKey) -> Row | None:
-        """Return a row of the conditions, ``None`` if it does not exist."""
+        """Return the current row of a condition, ``None`` if it does not exist."""
         for row in self.rows:
             if row.row_key == row_key and row.value is not None:
                 return row
@@ -79,7 +79,7 @@
 
 
 class Store(typing.Protocol):
-    """The platform's store; every call raises :class:`failures.StoreFailure`."""
+    """The platform's store; every call may raise :class:`failures.StoreFailure`."""
 
     async def read_rows(
         self, table: str, partition: str, start: str = "", end: str = ""
@@ -95,7 +95,7 @@
         """Return the rows of a table that changed after a version."""
 
     async def put_object(self, name: str, content: bytes) -> None:
-        """Store an object; an object that exists under the name stays."""
+        """Store an object, unless one of this name exists."""
 
     async def get_object(self, name: str) -> bytes:
         """Return an object."""
