--- a/features/platform_clients.feature
+++ b/features/platform_clients.feature
@@ -1,6 +1,6 @@
-Feature: Answers of the platform that prove nothing are not taken for proof
+Feature: Inconclusive responses of the platform are reported as unknown outcomes
 
-  Scenario Outline: An answer to a write says no more than it proves
+  Scenario Outline: A response to a write is reported as no more than it proves
     Guards against a write that took effect being reported as not applied.
     Given a table service that answers every call with status <status> and "<body>"
     When a transaction is sent
--- a/features/publishing.feature
+++ b/features/publishing.feature
@@ -23,15 +23,15 @@
     And service "chat" has 2 targets in force
 
   Scenario: A lost answer does not publish twice and is not reported as a conflict
-    Guards against a publisher that takes its own write for somebody else's.
+    Guards against a publisher that mistakes its own write for one of another publisher.
     Given two publishers that have read the head
     When the next write takes effect and its answer is lost
     And publisher 1 publishes service "chat" with 2 targets
     Then both publishes succeed
     And the revision is 2
 
-  Scenario: A lost answer is settled although another publisher moved the head
-    Guards against settling on the head row, which other publishers overwrite.
+  Scenario: A lost answer is resolved although another publisher changed the head
+    Guards against reading back the head row, which other publishers overwrite.
     Given two publishers that have read the head
     When the next answer is lost and publisher 1 publishes "chat" before the read back
     And publisher 2 publishes service "summary" with 3 targets
@@ -45,8 +45,8 @@
     And publisher 1 publishes service "chat" with 4 targets
     Then a reader that knew the first version sees 4 targets
 
-  Scenario: Documents that refer to missing things are refused whole
-    Guards against a half applied publish.
+  Scenario: Documents with dangling references are rejected as a whole
+    Guards against a partially applied publish.
     When a service "chat" with a target in zone "zone-x" for "nobody" is published
     Then the publish is rejected with problems at
       | key               |
@@ -60,7 +60,7 @@
     And revisions only grow by one for each applied publish
 
   Scenario Outline: The command reports every problem in a file
-    Guards against bad input that is half applied or explained badly.
+    Guards against invalid input that is partially applied or reported unclearly.
     Given a configuration folder with the file "<file>"
     When endivevanectl validates the folder
     Then the exit code is 3
@@ -76,8 +76,8 @@
       | bad-address.endivevane.toml    | targets.0.address               |
 
   Scenario Outline: Online requests and batch jobs find an adapter by the same name
-    Guards against a batch job that is accepted and never run, because the runner looked
-    for the adapter under another name than the HTTP interface.
+    Guards against a batch job that is accepted but never run because the runner looks
+    up the adapter under another name than the HTTP interface.
     Given publisher 1 has put service "chat" with the adapter "tuned" into force
     Then "<organisation>" finds "<model>" at service "<service>"
 
--- a/features/steps/late_configuration_steps.py
+++ b/features/steps/late_configuration_steps.py
@@ -29,7 +29,7 @@
         return context.world.store.rows("jobs")[context.world.job_id].value
 
     batch_world.wait_until(
-        lambda: read()["state"] == "completed", 20, "the job does not end"
+        lambda: read()["state"] == "completed", 20, "the job does not complete"
     )
     tally = read()["tally"]
     assert (tally["completed"], tally["failed"]) == (done, failed), tally
--- a/features/steps/publishing_steps.py
+++ b/features/steps/publishing_steps.py
@@ -10,7 +10,7 @@
 from endivevane import exceptions, testing
 from endivevane.configuration import models, publishing, snapshot
 
-_BROKEN_FILES = {
+_INVALID_FILES = {
     "malformed.endivevane.toml": "kind = service",
     "unknown-key.endivevane.toml": "[online]\ndeadline = 5",
     "wrong-unit.endivevane.toml": '[online]\ndeadline_s = "5 minutes"',
@@ -178,18 +178,20 @@
 @when("{count:d} random publishes run with seed {seed:d} against a store that fails")
 def step_random(context, count, seed):
     print(f"seed {seed}")
-    chooser = random.Random(seed)
+    generator = random.Random(seed)
     faults = [None] * 25 + list(testing.Fault)
-    context.store.choose_fault = lambda kind: chooser.choice(faults)
+    context.store.choose_fault = lambda kind: generator.choice(faults)
     bases = [publishing.NO_DOCUMENTS] * 4
     context.successes = []
     for index in range(count):
-        publisher = chooser.randrange(len(bases))
-        if chooser.random() < 0.5:
+        publisher = generator.randrange(len(bases))
+        if generator.random() < 0.5:
             fetched = publishing.fetch_changes(context.store, bases[publisher])
             bases[publisher] = fetched.unwrap_or(bases[publisher])
-        # The target count names the publish, so that its content can be recognised.
-        change = publishing.Change(make_service(chooser.choice("abc"), index % 50 + 1))
+        # The target count identifies the content of each publish.
+        change = publishing.Change(
+            make_service(generator.choice("abc"), index % 50 + 1)
+        )
         outcome = publishing.publish(context.store, change, bases[publisher])
         if isinstance(outcome, result.Ok):
             bases[publisher] = outcome.ok_value
@@ -228,7 +230,7 @@
     folder = tempfile.TemporaryDirectory()
     context.cleanups.append(folder.cleanup)
     context.folder = pathlib.Path(folder.name)
-    extra = _BROKEN_FILES[file]
+    extra = _INVALID_FILES[file]
     text = 'name = "chat"\n' if extra is None else _SERVICE_HEAD + extra
     (context.folder / file).write_text(text)
 
--- a/src/endivevane/configuration/__init__.py
+++ b/src/endivevane/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration that operators publish."""
+"""Loading, validation, publishing and snapshots of the operators' configuration."""
--- a/src/endivevane/configuration/loading.py
+++ b/src/endivevane/configuration/loading.py
@@ -1,4 +1,4 @@
-"""Collect and check the configuration files that operators write."""
+"""Collect and validate the configuration files that operators write."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 def collect_files(roots: abc.Sequence[pathlib.Path]) -> list[pathlib.Path]:
-    """Return the configuration files below some folders, sorted by path.
+    """Return the configuration files below the given folders, sorted by path.
 
-    :param roots: folders, or single files that are taken whatever their name
+    :param roots: folders, or single files, which may have any name
     :raises exceptions.ConfigurationError: when a root does not exist or has no file
     """
     files: set[pathlib.Path] = set()
@@ -53,10 +53,10 @@
 
 
 def load_files(files: abc.Sequence[pathlib.Path]) -> dict[str, LoadedDocument]:
-    """Read and validate files; report every problem at once.
+    """Read and validate files, and report all problems together.
 
     :returns: documents by key
-    :raises exceptions.ConfigurationError: with every problem that was found
+    :raises exceptions.ConfigurationError: with all problems found
     """
     problems: list[exceptions.InputProblem] = []
     documents: dict[str, LoadedDocument] = {}
@@ -106,7 +106,7 @@
 ) -> list[exceptions.InputProblem]:
     problems = []
     for item in error.errors():
-        # The first part of the location is the document's kind, not a key in the file.
+        # The first part of the location is the kind of document, not a key of the file.
         parts = [str(part) for part in item["loc"]]
         key = ".".join(parts[1:] if len(parts) > 1 else parts)
         problems.append(exceptions.InputProblem(file, key, item["msg"]))
@@ -116,10 +116,10 @@
 def check_references(
     documents: abc.Mapping[str, typing.Any], files: abc.Mapping[str, str]
 ) -> list[exceptions.InputProblem]:
-    """Return problems that show only when all documents are seen together.
+    """Return the problems of references and names across documents.
 
-    :param documents: all documents by key, as they would be in force
-    :param files: where a document was read from, by key, for the messages
+    :param documents: all documents by key, as they would be after the publish
+    :param files: source file by document key, for the messages
     """
     problems: list[exceptions.InputProblem] = []
     parsed = {
@@ -142,8 +142,8 @@
         for target in service.targets:
             if target.zone not in zones:
                 reason = f"there is no zone {target.zone!r} in the fleet document"
-                where = f"targets.{target.name}.zone"
-                problems.append(exceptions.InputProblem(file, where, reason))
+                location = f"targets.{target.name}.zone"
+                problems.append(exceptions.InputProblem(file, location, reason))
         for model in service.models:
             owner = model_owners.setdefault(model.name, service.name)
             if owner != service.name:
@@ -172,8 +172,8 @@
             owner = owners.setdefault(api_key.sha256, item.name)
             if owner != item.name:
                 reason = f"the key digest belongs to organisation {owner!r} too"
-                where = f"keys.{api_key.id}"
+                location = f"keys.{api_key.id}"
                 problems.append(
-                    exceptions.InputProblem(files.get(key, key), where, reason)
+                    exceptions.InputProblem(files.get(key, key), location, reason)
                 )
     return problems
--- a/src/endivevane/configuration/models.py
+++ b/src/endivevane/configuration/models.py
@@ -12,13 +12,13 @@
 Name = typing.Annotated[str, pydantic.Field(pattern=_NAME)]
 PositiveSeconds = typing.Annotated[float, pydantic.Field(gt=0, le=86_400)]
 _DAY_S = 86_400
-# Ten years; a longer period is more likely a mistake in the unit.
+# Ten years; a longer period is probably given in the wrong unit.
 _MAX_RETENTION_S = 3_653 * _DAY_S
 RetentionSeconds = typing.Annotated[float, pydantic.Field(ge=1, le=_MAX_RETENTION_S)]
 
 
 class _Model(pydantic.BaseModel):
-    """Base of all configuration models: unknown keys are errors."""
+    """Base of all configuration models; unknown keys are errors."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -34,10 +34,10 @@
 class TargetModel(_Model):
     """One target of a service.
 
-    :param slots: requests that the target runs together
-    :param checks_orders: whether the target checks who gives it an order
-    :param checks_fencing: whether the target refuses orders with an old number
-    :param role: role of an engine; ``None`` lets the daemons decide
+    :param slots: requests that the target runs concurrently
+    :param checks_orders: whether the target checks the sender of an order
+    :param checks_fencing: whether the target rejects orders with a stale fencing token
+    :param role: role of an engine; ``None`` lets the daemons assign it
     """
 
     name: Name
@@ -52,8 +52,8 @@
 class LanguageModelModel(_Model):
     """A language model that a service offers.
 
-    :param adapters: names of adapters that callers may ask for
-    :param min_replicas: replicas that keep the model loaded
+    :param adapters: names of adapters that callers may request
+    :param min_replicas: minimum number of replicas that keep the model loaded
     """
 
     name: Name
@@ -63,10 +63,10 @@
 
 
 class RouteModel(_Model):
-    """A group of calls of a plain service.
+    """A route of a plain service.
 
-    :param path: prefix of the path below the service's root
-    :param idempotent: whether a call may be repeated
+    :param path: path prefix, relative to the service's root
+    :param idempotent: whether a call may be retried
     """
 
     path: str = pydantic.Field(pattern=r"^/")
@@ -78,11 +78,11 @@
 class OnlineModel(_Model):
     """How online requests of a service are served.
 
-    :param deadline_s: deadline that applies when a caller names none
-    :param inactivity_timeout_s: longest silence of a stream
+    :param deadline_s: default deadline of a request
+    :param inactivity_timeout_s: longest time without data on a stream
     :param first_token_timeout_s: longest wait for the first token
-    :param max_attempts: attempts for one request, the first included
-    :param max_queue: requests of this service that may wait in one daemon
+    :param max_attempts: attempts per request, including the first
+    :param max_queue: queued requests of this service per daemon
     """
 
     deadline_s: PositiveSeconds = 60.0
@@ -97,9 +97,9 @@
     """How long the data of batch jobs is kept.
 
     :param results_s: from the end of a job until its results are deleted
-    :param inputs_s: from the upload of an input file until it is deleted, which waits
-        for the open jobs that read it
-    :param keys_s: from the end of a job until its idempotency key may be used again
+    :param inputs_s: from the upload of an input file until it is deleted, but not
+        before the open jobs that read it have ended
+    :param keys_s: from the end of a job until its idempotency key may be reused
     """
 
     results_s: RetentionSeconds = 30.0 * _DAY_S
@@ -108,7 +108,7 @@
 
     @pydantic.model_validator(mode="after")
     def _check_order(self) -> typing.Self:
-        # A key that is forgotten before its results would run a job twice.
+        # If a key expired before the results, a retry of the job would run it again.
         if self.keys_s < self.results_s:
             raise ValueError("keys_s must not be shorter than results_s")
         return self
@@ -117,10 +117,10 @@
 class BatchModel(_Model):
     """How batch items of a service are run.
 
-    :param online_reserve_slots: slots per target that batch leaves free; 0 uses most
-        of the idle capacity, 1 or 2 spare online requests the wait for a cancellation
-    :param max_item_attempts: attempts before an item is given up
-    :param item_timeout_s: limit for one attempt of an item
+    :param online_reserve_slots: slots per target that batch items leave free; 0 uses
+        most idle capacity, with 1 or 2 online requests need not wait for a preemption
+    :param max_item_attempts: attempts before an item fails
+    :param item_timeout_s: timeout of one attempt of an item
     """
 
     enabled: bool = True
@@ -133,9 +133,9 @@
 class RolesModel(_Model):
     """How the engines of a service share prefill and decode.
 
-    :param prefill_share: share of the engines that only run prefill
-    :param handover_min_prompt_bytes: prompts of at least this length are computed by a
-        prefill engine, which hands its KV cache over; 0 for none
+    :param prefill_share: share of the engines that run prefill only
+    :param handover_min_prompt_bytes: prompts of at least this length are processed by a
+        prefill engine, whose KV cache is transferred to a decode engine; 0 for none
     """
 
     prefill_share: float = pydantic.Field(default=0.0, ge=0, le=0.5)
@@ -173,9 +173,9 @@
 
 
 class KeyModel(_Model):
-    """An API key, known by its digest only.
+    """An API key, stored as a digest only.
 
-    :param sha256: SHA-256 of the key in hex
+    :param sha256: hexadecimal SHA-256 digest of the key
     """
 
     id: Name
@@ -187,7 +187,7 @@
     """An organisation whose callers use the services.
 
     :param weight: share of capacity under overload, relative to others
-    :param max_concurrent_requests: online requests in flight in one daemon
+    :param max_concurrent_requests: concurrent online requests per daemon
     """
 
     kind: typing.Literal["organisation"]
@@ -203,7 +203,7 @@
 
 
 class ZoneModel(_Model):
-    """An availability zone and the region that it belongs to."""
+    """An availability zone and its region."""
 
     name: Name
     region: Name
@@ -214,9 +214,9 @@
 
     :param capacity_mbit_s: capacity in each direction
     :param data_share: share that requests and batch data may use
-    :param reserve_bytes_s: part of the capacity that only control and the store may
-        use, whatever the share of data is; the default is worked out for 340 daemons
-        in docs/decisions/link-budget.md
+    :param reserve_bytes_s: part of the capacity that is reserved for control messages
+        and the store, whatever ``data_share`` is; the default is derived for 340
+        daemons in docs/decisions/link-budget.md
     """
 
     capacity_mbit_s: float = pydantic.Field(default=15.0, gt=0)
@@ -226,22 +226,23 @@
     @pydantic.model_validator(mode="after")
     def _check_reserve(self) -> typing.Self:
         if self.reserve_bytes_s >= self.capacity_mbit_s * 1e6 / 8:
-            raise ValueError("reserve_bytes_s leaves nothing of the link for data")
+            raise ValueError("reserve_bytes_s leaves no link capacity for data")
         return self
 
 
 class RegisterRetentionModel(_Model):
-    """How long outcomes of calls that run at most once are kept.
+    """How long outcomes of at-most-once calls are kept.
 
-    :param outcomes_s: from the claim of a key until its outcome is deleted; after that
-        the same key runs again. A key without an outcome is kept twice as long
+    :param outcomes_s: from the claim of a key until its outcome is deleted; a later
+        call with the same key runs again. A key without an outcome is kept twice as
+        long
     """
 
     outcomes_s: RetentionSeconds = 7.0 * _DAY_S
 
 
 class FleetModel(_Model):
-    """The zones of the fleet, the link between its regions and the call register."""
+    """Settings of the whole fleet: zones, inter-region link and call register."""
 
     kind: typing.Literal["fleet"]
     name: typing.Literal["fleet"] = "fleet"
--- a/src/endivevane/configuration/publishing.py
+++ b/src/endivevane/configuration/publishing.py
@@ -1,4 +1,4 @@
-"""Put documents into force and read what is in force, over the table service."""
+"""Publish configuration documents to the table service, and read those in force."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionedDocument:
-    """A document in force.
+    """A document and its version.
 
     :param version: configuration revision that last changed the document
     """
@@ -55,26 +55,26 @@
 NO_DOCUMENTS = Documents(0, HeadState.ACCEPTED, {})
 
 
-class HeadKeepsMoving(store.StoreError):
-    """The head changed during each of several reads."""
+class HeadUnstable(store.StoreError):
+    """The head changed during each attempt to read or publish."""
 
     def format_message(self) -> str:
-        """Return what to do next."""
+        """Return the reason and the advice to retry."""
         return "the configuration changed during each read; try again"
 
 
 class PublishRejected(exceptions.ConfigurationError):
-    """The documents do not fit together with those in force."""
+    """The documents are inconsistent with each other or with those in force."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What a publisher wants to change.
+    """A set of changes to publish.
 
     :param documents: new content by document key
     :param removed: keys of documents to remove
-    :param files: file of each document, for messages
-    :param excluded_zones: zones whose confirmation is not waited for
+    :param files: source file by document key, for messages
+    :param excluded_zones: zones whose confirmation is not required
     """
 
     documents: abc.Mapping[str, dict[str, typing.Any]]
@@ -88,10 +88,10 @@
 ) -> result.Result[Documents, store.StoreError]:
     """Return the documents of the head revision.
 
-    Only documents whose version differs from the known one are read. A publish between
-    the reads shows as a row that is newer than the head, and the head is read again.
+    Only documents whose version differs from the known one are read. A concurrent
+    publish is detected by a row that does not match the head, which is then read again.
 
-    :param known: what the caller has already
+    :param known: documents that the caller already has
     """
     for _ in range(_MAX_ATTEMPTS):
         head = table_store.read(TABLE, HEAD_KEY)
@@ -107,11 +107,11 @@
         if documents.ok_value is None:
             continue
         return result.Ok(_make_documents(head.ok_value, documents.ok_value))
-    return result.Err(HeadKeepsMoving())
+    return result.Err(HeadUnstable())
 
 
 def find_changed_keys(change: Change, base: Documents) -> list[str]:
-    """Return the keys that a publish of the change would write or remove."""
+    """Return the keys that publishing the change would write or remove."""
     changed = [
         key
         for key, document in sorted(change.documents.items())
@@ -125,12 +125,12 @@
 ) -> result.Result[
     Documents, store.StoreError | exceptions.PublishConflict | PublishRejected
 ]:
-    """Put a change into force in one transaction.
+    """Publish a change in one transaction.
 
-    When only other documents moved since the base was read, the publish is tried again
-    on the new head. When one of the changed documents moved, it is a conflict.
+    If only other documents have changed since the base was read, the publish is
+    retried on the new head. If one of the same documents has changed, it is a conflict.
 
-    :param base: documents that the publisher has seen
+    :param base: documents that the change is based on
     :returns: the documents in force after the publish
     """
     keys = find_changed_keys(change, base)
@@ -141,13 +141,13 @@
         conflict = _find_conflict(keys, base, current)
         if conflict is not None:
             return result.Err(conflict)
-        wanted = _merge(change, keys, current)
+        merged = _merge(change, keys, current)
         problems = loading.check_references(
-            {key: item.document for key, item in wanted.items()}, change.files
+            {key: item.document for key, item in merged.items()}, change.files
         )
         if problems:
             return result.Err(PublishRejected(problems))
-        written = _write(table_store, change, keys, current, wanted)
+        written = _write(table_store, change, keys, current, merged)
         if isinstance(written, result.Ok):
             return fetch_changes(table_store, current)
         if not isinstance(written.err_value, store.StoreConflict):
@@ -156,7 +156,7 @@
         if isinstance(fetched, result.Err):
             return fetched
         current = fetched.ok_value
-    return result.Err(HeadKeepsMoving())
+    return result.Err(HeadUnstable())
 
 
 def mark_accepted(
@@ -164,10 +164,10 @@
     published: Documents,
     excluded_zones: abc.Collection[str],
 ) -> result.Result[bool, store.StoreError]:
-    """Record that every zone but the excluded ones has confirmed a revision.
+    """Record that all zones except the excluded ones have confirmed a revision.
 
-    :param excluded_zones: zones that this acceptance did not wait for; the publish of
-        the same revision may have named others or none
+    :param excluded_zones: zones whose confirmation was not required; they replace
+        those that were given at the publish
     :returns: whether the head was still at this revision
     """
     head = table_store.read(TABLE, HEAD_KEY)
@@ -197,7 +197,7 @@
 def read_confirmations(
     table_store: store.TableStore,
 ) -> result.Result[dict[str, int], store.StoreError]:
-    """Return the revision that each zone has confirmed, by zone."""
+    """Return the confirmed revision by zone."""
     scanned = table_store.scan(TABLE, ACKS_PREFIX)
     if isinstance(scanned, result.Err):
         return scanned
@@ -212,12 +212,12 @@
 def _read_documents(
     table_store: store.TableStore, head: abc.Mapping[str, typing.Any], known: Documents
 ) -> result.Result[dict[str, VersionedDocument] | None, store.StoreError]:
-    """Return the head's documents, or ``None`` when the head has moved on."""
+    """Return the head's documents, or ``None`` when the head has changed."""
     documents: dict[str, VersionedDocument] = {}
     for key, version in head["documents"].items():
-        have = known.documents.get(key)
-        if have is not None and have.version == version:
-            documents[key] = have
+        cached = known.documents.get(key)
+        if cached is not None and cached.version == version:
+            documents[key] = cached
             continue
         reading = table_store.read(TABLE, key)
         if isinstance(reading, result.Err):
@@ -245,9 +245,9 @@
     keys: list[str], base: Documents, current: Documents
 ) -> exceptions.PublishConflict | None:
     for key in keys:
-        before, now = base.documents.get(key), current.documents.get(key)
-        expected = before.version if before else None
-        actual = now.version if now else None
+        old, new = base.documents.get(key), current.documents.get(key)
+        expected = old.version if old else None
+        actual = new.version if new else None
         if expected != actual:
             return exceptions.PublishConflict(key, expected, actual)
     return None
@@ -257,13 +257,13 @@
     change: Change, keys: list[str], current: Documents
 ) -> dict[str, VersionedDocument]:
     revision = current.revision + 1
-    wanted = dict(current.documents)
+    merged = dict(current.documents)
     for key in keys:
         if key in change.removed:
-            wanted.pop(key, None)
+            merged.pop(key, None)
             continue
-        wanted[key] = VersionedDocument(revision, change.documents[key])
-    return wanted
+        merged[key] = VersionedDocument(revision, change.documents[key])
+    return merged
 
 
 def _write(
@@ -271,7 +271,7 @@
     change: Change,
     keys: list[str],
     current: Documents,
-    wanted: abc.Mapping[str, VersionedDocument],
+    merged: abc.Mapping[str, VersionedDocument],
 ) -> result.Result[int, store.StoreError]:
     """Write the head and the changed documents under a condition on the head.
 
@@ -281,20 +281,20 @@
     head = {
         "revision": current.revision + 1,
         "state": HeadState.PENDING.value,
-        "documents": {key: item.version for key, item in wanted.items()},
+        "documents": {key: item.version for key, item in merged.items()},
         "excluded_zones": list(change.excluded_zones),
     }
     writes: list[store.Write] = []
     removals: list[store.Write] = []
     for key in keys:
-        if key not in wanted:
+        if key not in merged:
             removals.append(store.Write(TABLE, key, None))
             continue
-        item = wanted[key]
+        item = merged[key]
         value = {"version": item.version, "document": item.document}
         writes.append(store.Write(TABLE, key, value))
-    # A document row comes first, since a lost answer is settled on the first row and
-    # the head may be overwritten by a publisher of other documents in the meantime.
+    # A document row comes first: the read-back after a lost response compares the first
+    # row, and another publisher may have overwritten the head in the meantime.
     writes += [store.Write(TABLE, HEAD_KEY, head), *removals]
     condition = store.Condition(TABLE, HEAD_KEY, current.head_row_revision)
     operation_id = utils.make_id("publish")
--- a/src/endivevane/configuration/snapshot.py
+++ b/src/endivevane/configuration/snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration in force, as immutable data for the daemon's tasks."""
+"""Immutable snapshots of the configuration in force."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Link:
-    """The link between the regions, capacity in each direction."""
+    """The link between the regions; capacities are per direction."""
 
     capacity_bytes_s: float
     data_share: float
@@ -28,7 +28,7 @@
 
     @property
     def data_bytes_s(self) -> float:
-        """Rate that requests and batch data of all daemons may use together."""
+        """Total rate that all daemons may use for requests and batch data."""
         left_bytes_s = max(0.0, self.capacity_bytes_s - self.reserve_bytes_s)
         return min(self.capacity_bytes_s * self.data_share, left_bytes_s)
 
@@ -37,9 +37,9 @@
 class Target:
     """A back end of a service.
 
-    :param service: name of the service that it belongs to
-    :param slots: requests that it runs together
-    :param role: declared role of an engine, ``None`` when the daemons decide
+    :param service: name of its service
+    :param slots: requests that it runs concurrently
+    :param role: configured role of an engine, ``None`` if the daemons assign it
     """
 
     name: str
@@ -55,9 +55,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service and how it is served.
+    """A service and its targets.
 
-    :param model: the validated document, for its limits and routes
+    :param model: validated document, with the limits and routes
     """
 
     name: str
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyOwner:
-    """Who an API key belongs to."""
+    """Owner of an API key."""
 
     organisation: str
     role: types.Role
@@ -86,10 +86,10 @@
 class Snapshot:
     """One revision of the whole configuration.
 
-    :param revision: number of the publish that made it, 0 before the first
+    :param revision: configuration revision, 0 before the first publish
     :param services_by_model: service that offers a model, by model name
     :param key_owners: owners by SHA-256 digest of the key
-    :param register_retention_s: how long outcomes of at-most-once calls are kept
+    :param register_retention_s: retention of the outcomes of at-most-once calls
     """
 
     revision: int
@@ -102,10 +102,10 @@
     register_retention_s: float = models.RegisterRetentionModel().outcomes_s
 
     def find_batch_retention(self, model: str) -> models.BatchRetentionModel:
-        """Return how long the batch data of a model is kept.
+        """Return the retention of the batch data of a model.
 
-        The data of a model that no service offers any more is kept for the longest
-        period of the defaults and all services, since its own period is not known.
+        A model that no service offers any more gets the longest periods of the defaults
+        and all services, since its own are not known.
         """
         service = self.services_by_model.get(model.partition(":")[0])
         if service is not None:
@@ -122,7 +122,7 @@
         """Return the service that offers a model to an organisation.
 
         :param model: name of a model, or ``model:adapter``
-        :returns: ``None`` when there is none, or when it lacks the adapter
+        :returns: ``None`` when there is no such service or adapter
         """
         name, separator, adapter = model.partition(":")
         service = self.services_by_model.get(name)
@@ -151,11 +151,11 @@
     ]
     zones: dict[str, Zone] = {}
     link = EMPTY.link
-    kept_s = EMPTY.register_retention_s
+    retention_s = EMPTY.register_retention_s
     for document in parsed:
         if not isinstance(document, models.FleetModel):
             continue
-        kept_s = document.register_retention.outcomes_s
+        retention_s = document.register_retention.outcomes_s
         zones = {zone.name: Zone(zone.name, zone.region) for zone in document.zones}
         link = Link(
             document.link.capacity_mbit_s * 1e6 / 8,
@@ -178,7 +178,14 @@
                 role = types.Role(key.role)
                 key_owners[key.sha256] = KeyOwner(document.name, role, key.id)
     return Snapshot(
-        revision, services, by_model, organisations, key_owners, zones, link, kept_s
+        revision,
+        services,
+        by_model,
+        organisations,
+        key_owners,
+        zones,
+        link,
+        retention_s,
     )
 
 
--- a/src/endivevane/external/__init__.py
+++ b/src/endivevane/external/__init__.py
@@ -1,1 +1,1 @@
-"""Clients for the outside systems that the OpenAI border uses."""
+"""Clients of external systems: engines, table service, object store and VM list."""
--- a/src/endivevane/external/engine.py
+++ b/src/endivevane/external/engine.py
@@ -1,4 +1,4 @@
-"""Client of a model engine: load, cache events, streams, orders."""
+"""Client of a model engine: load, cache events, cancellation, orders."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class EngineError(exceptions.EndivevaneError):
     """A call to an engine failed.
 
-    :param address: the engine
-    :param detail: what happened
+    :param address: address of the engine
+    :param detail: cause of the failure
     """
 
     def __init__(self, address: types.Address, detail: str) -> None:
@@ -24,12 +24,12 @@
         self.detail = detail
 
     def format_message(self) -> str:
-        """Return the engine and what happened."""
+        """Return the engine's address and the cause."""
         return f"engine {self.address}: {self.detail}"
 
 
 class FencingRefused(EngineError):
-    """The engine refused an order that carries an old fencing number."""
+    """The engine rejected an order with a stale fencing token."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an engine reports of itself, with a lag.
+    """Load that an engine reports, which may be out of date.
 
-    :param as_of_s: wall time of the reported state, in seconds since the epoch
+    :param as_of_s: Unix time of the reported state
     :param running: requests in the running batch
     :param waiting: requests admitted but not yet running
-    :param slots: requests that can run together
+    :param slots: requests that can run concurrently
     :param kv_used_share: used share of the KV cache, 0 to 1
     """
 
@@ -63,7 +63,7 @@
 
 
 class EngineClient:
-    """Calls that are not part of a caller's request.
+    """Client for calls to an engine other than the requests of callers.
 
     :param pool: connections to the engine
     """
@@ -97,7 +97,7 @@
     def fetch_cache_events(
         self, after: int
     ) -> result.Result[list[dict[str, typing.Any]], EngineError]:
-        """Return prefix cache events numbered above ``after``."""
+        """Return the prefix cache events with numbers above ``after``."""
         outcome = self._call("GET", f"/v1/cache-events?after={after}")
         if isinstance(outcome, result.Err):
             return outcome
@@ -105,7 +105,7 @@
         return result.Ok(events)
 
     def cancel_stream(self, attempt_id: str) -> result.Result[None, EngineError]:
-        """Cancel a running request; an unknown attempt counts as cancelled."""
+        """Cancel a running request; succeeds also for an unknown attempt."""
         outcome = self._call("DELETE", f"/v1/streams/{attempt_id}")
         if isinstance(outcome, result.Err):
             return outcome
@@ -114,7 +114,7 @@
     def send_order(
         self, fencing_token: int, action: str, **arguments: str
     ) -> result.Result[None, EngineError]:
-        """Send an order with its fencing number."""
+        """Send an order with a fencing token."""
         body = {"fencing_number": fencing_token, "action": action, **arguments}
         outcome = self._call("POST", "/v1/orders", body)
         if isinstance(outcome, result.Err):
@@ -122,7 +122,7 @@
         return result.Ok(None)
 
     def fetch_state(self) -> result.Result[dict[str, typing.Any], EngineError]:
-        """Return what the engine has loaded."""
+        """Return the engine's state, such as the models it has loaded."""
         return self._call("GET", "/v1/state")
 
     def _call(
@@ -136,7 +136,7 @@
             )
         response = outcome.ok_value
         if response.status == 409:
-            return result.Err(FencingRefused(self._pool.address, "old number"))
+            return result.Err(FencingRefused(self._pool.address, "stale fencing token"))
         if response.status == 404 and method == "DELETE":
             return result.Ok({})
         if response.status not in (200, 202):
--- a/src/endivevane/external/http_pool.py
+++ b/src/endivevane/external/http_pool.py
@@ -1,4 +1,4 @@
-"""Bounded pool of HTTP/1.1 connections to one address."""
+"""Pool of HTTP/1.1 connections to one address."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Stage(enum.StrEnum):
-    """How far a call came before it failed."""
+    """Stage at which a call failed."""
 
     CONNECT = "connect"
     SEND = "send"
@@ -27,10 +27,10 @@
 class TransportError(exceptions.EndivevaneError):
     """A call failed below the HTTP level.
 
-    :param address: where the call went
-    :param stage: how far it came; at ``CONNECT`` no byte was sent
-    :param detail: what happened
-    :param is_timeout: whether a wait took too long, rather than the connection broke
+    :param address: address that was called
+    :param stage: stage of the failure; at ``CONNECT`` no byte was sent
+    :param detail: cause of the failure
+    :param is_timeout: whether a wait timed out, rather than the connection failed
     """
 
     def __init__(
@@ -55,12 +55,12 @@
 class PoolSettings:
     """Limits of a pool.
 
-    :param connect_timeout_s: limit for the TCP handshake
-    :param read_timeout_s: limit for each wait for bytes
-    :param max_idle_s: idle connections older than this are closed; short enough to
-        stay below the idle limits of load balancers and NAT tables
-    :param max_age_s: connections older than this are not reused
-    :param max_idle_connections: how many idle connections are kept
+    :param connect_timeout_s: timeout of the TCP handshake
+    :param read_timeout_s: timeout of each wait for bytes
+    :param max_idle_s: connections idle for longer are closed; below the usual idle
+        timeouts of load balancers and NAT tables
+    :param max_age_s: older connections are not reused
+    :param max_idle_connections: number of idle connections to keep
     """
 
     connect_timeout_s: float = 1.0
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A whole HTTP response.
+    """A complete HTTP response.
 
     :param headers: header names in lower case
     """
@@ -83,7 +83,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Pooled:
+class _PooledConnection:
     connection: http.client.HTTPConnection
     opened_at_s: float
     idle_since_s: float
@@ -93,9 +93,9 @@
 def open_connection(
     address: types.Address, connect_timeout_s: float, user_timeout_s: float
 ) -> http.client.HTTPConnection:
-    """Open a TCP connection with ``TCP_USER_TIMEOUT`` and without Nagle's delay.
+    """Open a TCP connection with ``TCP_USER_TIMEOUT`` and ``TCP_NODELAY``.
 
-    :param connect_timeout_s: limit for the handshake
+    :param connect_timeout_s: timeout of the handshake
     :param user_timeout_s: how long sent data may stay unacknowledged
     :raises OSError: when the connection can't be opened
     """
@@ -112,9 +112,10 @@
 
 
 class SentCall:
-    """A call whose response has not been read; its socket tells when there is one.
+    """A request that was sent and whose response has not been read.
 
-    :param address: where the call went
+    :param address: address that was called
+    :ivar sock: socket that becomes readable when the response arrives
     """
 
     def __init__(
@@ -125,9 +126,9 @@
         self.sock: socket.socket = connection.sock
 
     def receive(self, timeout_s: float) -> result.Result[Response, TransportError]:
-        """Read the whole response and close the connection.
+        """Read the complete response and close the connection.
 
-        :param timeout_s: limit for each wait for bytes
+        :param timeout_s: timeout of each wait for bytes
         """
         try:
             self.sock.settimeout(timeout_s)
@@ -141,7 +142,8 @@
 
     def close(self) -> None:
         """Close the connection."""
-        # The connection forgets a socket whose response announces its end.
+        # HTTPConnection drops its socket without closing it when the response says
+        # "Connection: close".
         self.sock.close()
         self._connection.close()
 
@@ -160,11 +162,7 @@
 
 
 class HttpPool:
-    """A thread-safe pool of keep-alive connections to one address.
-
-    :param address: where the calls go
-    :param settings: limits
-    """
+    """A thread-safe pool of keep-alive connections to one address."""
 
     def __init__(
         self,
@@ -175,7 +173,7 @@
         self.address = address
         self._settings = settings
         self._clock = pool_clock or clock.SystemClock()
-        self._idle: collections.deque[_Pooled] = collections.deque()
+        self._idle: collections.deque[_PooledConnection] = collections.deque()
         self._lock = threading.Lock()
 
     def request(
@@ -187,14 +185,14 @@
         timeout_s: float | None = None,
         is_repeatable: bool = True,
     ) -> result.Result[Response, TransportError]:
-        """Send a request and read the whole response.
+        """Send a request and read the complete response.
 
-        A reused connection that the server has closed fails before any byte of the
-        response; such a call is sent once more on a new connection, but only when it
-        is repeatable. A call that is not repeatable always uses a new connection, so
-        that a failure at ``CONNECT`` proves that nothing was sent.
+        A reused connection may have been closed by the server; a repeatable call that
+        fails on one is retried on a new connection. A call that is not repeatable
+        always uses a new connection, so that a failure at ``CONNECT`` proves that
+        nothing was sent.
 
-        :param timeout_s: limit for each wait, instead of the pool's read timeout
+        :param timeout_s: timeout of each wait, instead of the pool's read timeout
         """
         while True:
             opened = self._acquire(is_repeatable)
@@ -234,7 +232,9 @@
         for pooled in pooled_list:
             pooled.connection.close()
 
-    def _acquire(self, may_reuse: bool) -> result.Result[_Pooled, TransportError]:
+    def _acquire(
+        self, may_reuse: bool
+    ) -> result.Result[_PooledConnection, TransportError]:
         now_s = self._clock.monotonic_s()
         while may_reuse:
             with self._lock:
@@ -254,16 +254,16 @@
             )
         except OSError as error:
             return result.Err(TransportError(self.address, Stage.CONNECT, str(error)))
-        return result.Ok(_Pooled(connection, now_s, now_s))
+        return result.Ok(_PooledConnection(connection, now_s, now_s))
 
-    def _is_stale(self, pooled: _Pooled, now_s: float) -> bool:
+    def _is_stale(self, pooled: _PooledConnection, now_s: float) -> bool:
         idle_s = now_s - pooled.idle_since_s
         age_s = now_s - pooled.opened_at_s
         return idle_s > self._settings.max_idle_s or age_s > self._settings.max_age_s
 
     def _exchange(
         self,
-        pooled: _Pooled,
+        pooled: _PooledConnection,
         method: str,
         path: str,
         body: bytes | None,
@@ -292,10 +292,10 @@
         return result.Ok(_make_response(raw, data))
 
     def _pace(self, body: bytes | None) -> bytes | abc.Iterator[bytes] | None:
-        """Return the body as it is to be sent."""
+        """Return the body to send; subclasses may limit its rate."""
         return body
 
-    def _release(self, pooled: _Pooled) -> None:
+    def _release(self, pooled: _PooledConnection) -> None:
         pooled.idle_since_s = self._clock.monotonic_s()
         with self._lock:
             if len(self._idle) < self._settings.max_idle_connections:
--- a/src/endivevane/external/objects.py
+++ b/src/endivevane/external/objects.py
@@ -14,8 +14,8 @@
 class ObjectStoreError(exceptions.EndivevaneError):
     """A call to the object store failed.
 
-    :param key: object that the call was about
-    :param detail: what happened
+    :param key: key of the object, or prefix of a listing
+    :param detail: cause of the failure
     """
 
     def __init__(self, key: str, detail: str) -> None:
@@ -24,7 +24,7 @@
         self.detail = detail
 
     def format_message(self) -> str:
-        """Return the key and what happened."""
+        """Return the key and the cause."""
         return f"object {self.key}: {self.detail}"
 
 
@@ -33,12 +33,12 @@
 
 
 class ObjectExists(ObjectStoreError):
-    """An object that was to be created exists already."""
+    """The object to create exists already."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObjectInfo:
-    """Name and size of an object."""
+    """Key and size of an object."""
 
     key: str
     size_bytes: int
@@ -58,7 +58,7 @@
     ) -> result.Result[None, ObjectStoreError]:
         """Write an object.
 
-        :param create_only: fail with :class:`ObjectExists` when it is there already
+        :param create_only: fail with :class:`ObjectExists` if the object exists
         """
         headers = {"Content-Type": "application/octet-stream"}
         if create_only:
@@ -69,14 +69,14 @@
         return result.Ok(None)
 
     def get(self, key: str) -> result.Result[bytes, ObjectStoreError]:
-        """Return the bytes of an object."""
+        """Return the content of an object."""
         outcome = self._call("GET", key)
         if isinstance(outcome, result.Err):
             return outcome
         return result.Ok(outcome.ok_value.body)
 
     def delete(self, key: str) -> result.Result[None, ObjectStoreError]:
-        """Delete an object; a missing one counts as deleted."""
+        """Delete an object; succeeds also if it does not exist."""
         outcome = self._call("DELETE", key)
         if isinstance(outcome, result.Err):
             if isinstance(outcome.err_value, ObjectMissing):
--- a/src/endivevane/external/table.py
+++ b/src/endivevane/external/table.py
@@ -50,7 +50,7 @@
     def scan(
         self, table: str, prefix: str, after: str = "", limit: int = 500
     ) -> result.Result[list[store.Row], store.StoreError]:
-        """Return rows in key order whose key has the prefix and sorts after a key."""
+        """Return rows with a key prefix, in key order, that sort after a key."""
         query = urllib.parse.urlencode(
             {"prefix": prefix, "after": after, "limit": limit}
         )
@@ -84,7 +84,7 @@
                 for item in writes
             ],
         }
-        # The pool must not resend: a lost answer is settled by reading back.
+        # The pool must not resend: a lost response is resolved by a read-back.
         outcome = self._pool.request(
             "POST",
             "/v1/transact",
@@ -100,7 +100,7 @@
     def _get(
         self, path: str
     ) -> result.Result[dict[str, typing.Any] | None, store.StoreError]:
-        """Return the JSON body of an answer, ``None`` for status 404."""
+        """Return the JSON body of a response, ``None`` for status 404."""
         outcome = self._pool.request("GET", path)
         if isinstance(outcome, result.Err):
             detail = outcome.err_value.format_message()
@@ -127,13 +127,13 @@
 def _decode(
     outcome: result.Result[_T, store.StoreError], function: abc.Callable[[_T], _U]
 ) -> result.Result[_U, store.StoreError]:
-    """Decode the body of an answer; one that is malformed counts as no answer."""
+    """Decode a response body; a malformed one counts as unavailability."""
     if isinstance(outcome, result.Err):
         return outcome
     try:
         return result.Ok(function(outcome.ok_value))
     except (ValueError, KeyError, TypeError) as error:
-        return result.Err(store.StoreUnavailable(f"malformed answer: {error!r}"))
+        return result.Err(store.StoreUnavailable(f"malformed response: {error!r}"))
 
 
 def _read_row(body: dict[str, typing.Any]) -> tuple[dict[str, typing.Any], int]:
@@ -143,17 +143,17 @@
 def _decode_transaction(
     response: http_pool.Response, operation_id: str
 ) -> result.Result[int, store.StoreError]:
-    """Return the revision or the error that the answer to a transaction means."""
+    """Return the revision or the error that a transaction's response stands for."""
     try:
         if response.status == 200:
             return result.Ok(int(utils.decode_json(response.body)["revision"]))
         if response.status == 409:
             return result.Err(_decode_conflict(utils.decode_json(response.body)))
     except (ValueError, KeyError, TypeError) as error:
-        detail = f"malformed answer: {error!r}"
+        detail = f"malformed response: {error!r}"
         return result.Err(store.StoreOutcomeUnknown(operation_id, detail))
     if response.status >= 500:
-        # An intermediary may answer 502 to 504 after the write took effect.
+        # An intermediary may respond with 502 to 504 although the write was applied.
         detail = f"status {response.status}"
         return result.Err(store.StoreOutcomeUnknown(operation_id, detail))
     return result.Err(_convert_status(response))
--- a/src/endivevane/external/vms.py
+++ b/src/endivevane/external/vms.py
@@ -1,4 +1,4 @@
-"""Client of the platform's list of VMs, which lags behind the truth."""
+"""Client of the platform's list of VMs, which may be out of date."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -30,9 +30,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmList:
-    """The platform's list at one moment.
+    """The platform's list of VMs at one moment.
 
-    :param as_of_s: wall time of the listed state, in seconds since the epoch
+    :param as_of_s: Unix time of the listed state
     """
 
     as_of_s: float
@@ -42,7 +42,7 @@
 class VmListError(exceptions.EndivevaneError):
     """The list of VMs could not be read.
 
-    :param detail: what happened
+    :param detail: cause of the failure
     """
 
     def __init__(self, detail: str) -> None:
@@ -50,7 +50,7 @@
         self.detail = detail
 
     def format_message(self) -> str:
-        """Return what happened."""
+        """Return the cause."""
         return f"VM list: {self.detail}"
 
 
