--- a/features/platform_clients.feature
+++ b/features/platform_clients.feature
@@ -2,7 +2,7 @@
 
   Scenario Outline: A response to a write is reported as no more than it proves
     Guards against a write that took effect being reported as not applied.
-    Given a table service that answers every call with status <status> and "<body>"
+    Given a table service that responds to every call with status <status> and "<body>"
     When a transaction is sent
     Then the transaction's error is "<error>"
 
@@ -14,7 +14,7 @@
       | 409    | {}             | StoreOutcomeUnknown  |
       | 429    | slow down      | StoreOverloaded      |
 
-  Scenario: A connection that the server closes without an answer leaves the outcome open
+  Scenario: A connection that the server closes without a response leaves the outcome open
     Guards against resending a transaction on a reused connection that was closed.
     Given a table service that closes each connection after reading the request
     When a transaction is sent
--- a/features/publishing.feature
+++ b/features/publishing.feature
@@ -22,18 +22,18 @@
     Then publisher 2 gets a conflict on "services/chat" from version 2 to version 3
     And service "chat" has 2 targets in force
 
-  Scenario: A lost answer does not publish twice and is not reported as a conflict
+  Scenario: A lost response does not publish twice and is not reported as a conflict
     Guards against a publisher that mistakes its own write for one of another publisher.
     Given two publishers that have read the head
-    When the next write takes effect and its answer is lost
+    When the next write takes effect and its response is lost
     And publisher 1 publishes service "chat" with 2 targets
     Then both publishes succeed
     And the revision is 2
 
-  Scenario: A lost answer is resolved although another publisher changed the head
+  Scenario: A lost response is resolved although another publisher changed the head
     Guards against reading back the head row, which other publishers overwrite.
     Given two publishers that have read the head
-    When the next answer is lost and publisher 1 publishes "chat" before the read back
+    When the next response is lost and publisher 1 publishes "chat" before the read back
     And publisher 2 publishes service "summary" with 3 targets
     Then both publishes succeed
     And the services in force are "chat summary"
--- a/features/serving_state.feature
+++ b/features/serving_state.feature
@@ -58,12 +58,12 @@
 
   # Guards against jobs that are lost, accepted twice or listed twice when responses of
   # the store are lost, late or refused, while owners change and jobs are ended.
-  Scenario Outline: Jobs survive a store that loses answers
+  Scenario Outline: Jobs survive a store that loses responses
     When 40 histories of two daemons are simulated with seed <seed> and 35 of 100 transactions going wrong
     Then each position was written once with one content
     And no item is listed at two positions
     And a refused job left no row
-    And the histories had at least 40 lost answers and 10 changes of owner
+    And the histories had at least 40 lost responses and 10 changes of owner
 
     Examples:
       | seed |
@@ -77,9 +77,9 @@
     When 6 daemons accept jobs of 30 tokens at the same moment
     Then 3 jobs were accepted and the others refused as over the quota
 
-  Scenario: A job whose acceptance was never answered has an unknown outcome
+  Scenario: A job whose acceptance gets no response has an unknown outcome
     # Guards against a refusal of a job that may have been stored.
-    When the store loses every answer while a job is accepted
+    When the store loses every response while a job is accepted
     Then the outcome is reported as unknown
 
   # Guards against items that run twice and are listed twice because the feed delivered a
--- a/features/steps/platform_client_steps.py
+++ b/features/steps/platform_client_steps.py
@@ -33,7 +33,9 @@
     context.address = types.Address("127.0.0.1", server.server_port)
 
 
-@given('a table service that answers every call with status {status:d} and "{body}"')
+@given(
+    'a table service that responds to every call with status {status:d} and "{body}"'
+)
 def step_status(context, status, body):
     def answer(handler):
         data = body.encode()
--- a/features/steps/publishing_steps.py
+++ b/features/steps/publishing_steps.py
@@ -99,12 +99,14 @@
     context.bases[number] = outcome.unwrap()
 
 
-@when("the next write takes effect and its answer is lost")
+@when("the next write takes effect and its response is lost")
 def step_lose(context):
     context.store.script(testing.Fault.LOST_AFTER)
 
 
-@when('the next answer is lost and publisher 1 publishes "{name}" before the read back')
+@when(
+    'the next response is lost and publisher 1 publishes "{name}" before the read back'
+)
 def step_lose_then_move(context, name):
     calls = []
 
--- a/features/steps/serving_state_steps.py
+++ b/features/steps/serving_state_steps.py
@@ -361,7 +361,7 @@
 
 
 @then(
-    "the histories had at least {lost:d} lost answers and {claims:d} changes of owner"
+    "the histories had at least {lost:d} lost responses and {claims:d} changes of owner"
 )
 def step_histories_hard(context, lost, claims):
     found = sum(rows.lost for rows in context.stores)
@@ -413,10 +413,10 @@
 
     async def apply(self, change):
         await asyncio.sleep(0)
-        raise failures.StoreUncertain("apply", "no answer")
+        raise failures.StoreUncertain("apply", "no response")
 
 
-@when("the store loses every answer while a job is accepted")
+@when("the store loses every response while a job is accepted")
 def step_lose_all(context):
     async def run():
         daemon = _Daemon(_LosingStore(), "a")
--- a/src/endivevane/external/link.py
+++ b/src/endivevane/external/link.py
@@ -25,7 +25,7 @@
 # object of 2 MB at once would delay control messages on 15 Mbit/s by a second.
 _CHUNK_BYTES = 32 << 10
 _CONTENT_RANGE = re.compile(r"bytes (\d+)-(\d+)/(\d+)")
-# The threads that need the data would take a longer wait for a failed call.
+# After a longer wait the threads that need the data would treat the call as failed.
 _MAX_WAIT_S = 30.0
 _MAX_STEP_S = 0.5
 
--- a/src/endivevane/external/table.py
+++ b/src/endivevane/external/table.py
@@ -143,7 +143,7 @@
 def _decode_transaction(
     response: http_pool.Response, operation_id: str
 ) -> result.Result[int, store.StoreError]:
-    """Return the revision or the error that a transaction's response stands for."""
+    """Return the revision or the error in the response to a transaction."""
     try:
         if response.status == 200:
             return result.Ok(int(utils.decode_json(response.body)["revision"]))
--- a/src/endivevane/serving/job_takeover.py
+++ b/src/endivevane/serving/job_takeover.py
@@ -33,7 +33,7 @@
 
 
 class JobTakeover:
-    """Claims and runs jobs without an alive owner that fall to this daemon.
+    """Takes over jobs without an alive owner that are assigned to this daemon.
 
     Rendezvous hashing assigns each job to one active daemon, so that few claims
     collide. Of claims that do, the condition on the row's version lets one succeed.
