--- a/features/steps/coordinated_places_steps.py
+++ b/features/steps/coordinated_places_steps.py
@@ -21,14 +21,14 @@
         self.fleet = serving_fakes.Fleet(names, age_s=0.0)
         self.names = names
         self.daemons = [f"d{number}" for number in range(daemons)]
-        self.told = []
+        self.sent_messages = []
         self.now_s = 100.0
         self.coordinator = coordinator.Coordinator(
             self.fleet.directory,
             self.fleet.board,
             self.fleet.make_queue(),
             self.fleet.choices,
-            lambda name, message: self.told.append((name, message)),
+            lambda name, message: self.sent_messages.append((name, message)),
         )
         self._numbers = collections.Counter()
 
@@ -54,22 +54,22 @@
 
     def list_granted(self):
         found = {}
-        for name, message in self.told:
+        for name, message in self.sent_messages:
             if isinstance(message, slot_messages.Granted):
                 found[(name, message.number)] = message.target_id
         return found
 
     def count(self, kind):
-        return sum(isinstance(message, kind) for _, message in self.told)
+        return sum(isinstance(message, kind) for _, message in self.sent_messages)
 
-    def free(self, count):
+    def release_slots(self, count):
         for (name, number), _ in list(self.list_granted().items())[:count]:
             self.send(name, slot_messages.Release("run", number, 0.5, 0.1))
 
     def list_loads(self):
         return [self.fleet.board.total(name).total for name in self.names]
 
-    def list_holdings(self, name):
+    def list_held_slots(self, name):
         return [
             slot_registry.HeldSlot(number, target_id, False)
             for (holder, number), target_id in self.list_granted().items()
@@ -118,7 +118,7 @@
 
 @when("{count:d} places become free")
 def step_free(context, count):
-    context.region.free(count)
+    context.region.release_slots(count)
 
 
 @then("the urgent request has got one of them and the late one none")
@@ -139,7 +139,7 @@
 def step_same(context, times, count):
     granted = [
         message
-        for _, message in context.region.told
+        for _, message in context.region.sent_messages
         if isinstance(message, slot_messages.Granted)
     ]
     assert len(granted) == times and len(set(granted)) == 1, granted
@@ -151,7 +151,7 @@
     context.deputy = Region(len(context.region.daemons), len(context.region.names))
     for name in context.region.daemons:
         context.deputy.coordinator.apply_held_slots(
-            name, "run", context.region.list_holdings(name), context.deputy.now_s
+            name, "run", context.region.list_held_slots(name), context.deputy.now_s
         )
 
 
@@ -206,7 +206,7 @@
     for name in region.daemons[:items]:
         urgency = int(item_estimates.Urgency.NORMAL)
         region.ask(name, objective_s=15.0, is_batch=True, urgency=urgency)
-    assert len(region.list_granted()) == items, region.told
+    assert len(region.list_granted()) == items, region.sent_messages
     for name in region.daemons[items : items + online]:
         # The target takes one request more than its slots.
         region.fleet.board.add_granted("t0", False)
@@ -217,7 +217,7 @@
 def step_leave(context, after_s, count):
     region = context.region
     region.coordinator.tick(region.now_s + after_s)
-    assert region.count(slot_messages.Preempt) == count, region.told
+    assert region.count(slot_messages.Preempt) == count, region.sent_messages
 
 
 @given("{count:d} online requests that fill it and {waiting:d} that waits")
@@ -265,7 +265,7 @@
     urgency = int(item_estimates.Urgency.URGENT)
     message = context.region.ask("d2", objective_s=5.0, is_batch=True, urgency=urgency)
     context.urgent = ("d2", message.number)
-    context.region.free(count)
+    context.region.release_slots(count)
 
 
 @then("the waiting request has got it and the item has not")
@@ -311,31 +311,31 @@
     for number in range(1, 20):
         host = f"10.0.0.{number}"
         members.add(peer_registry.Peer(f"d{number}", "near", host, 1, "run"))
-    context.book = slot_registry.SlotRegistry(fleet.board)
+    context.registry = slot_registry.SlotRegistry(fleet.board)
     context.client = slot_client.SlotClient(
         members._identity,
         "z1",
         members,
         fleet.directory,
-        context.book,
+        context.registry,
         lambda name, message: context.sent.append((name, message)),
     )
     for _ in range(asked):
-        context.client.find_batch("lm", item_estimates.Urgency.NORMAL, 10.0)
+        context.client.find_batch_slot("lm", item_estimates.Urgency.NORMAL, 10.0)
     context.asks = list(context.sent)
     for name, message in context.asks[:got]:
         context.client.handle(name, slot_messages.Granted(message.number, "t0"))
-    assert len(context.book.list_held()) == got
+    assert len(context.registry.list_held()) == got
 
 
 @when("it has no more items")
 def step_no_items(context):
-    context.client.refresh_batch({})
+    context.client.refresh_batch_requests({})
 
 
 @then("it holds no place and has given up all {count:d}")
 def step_gave_up(context, count):
-    assert not context.book.list_held()
+    assert not context.registry.list_held()
     ended = {
         message.number
         for _, message in context.sent
--- a/features/steps/region_coordinator_steps.py
+++ b/features/steps/region_coordinator_steps.py
@@ -65,9 +65,9 @@
 
 _FATES = {
     "is killed": lambda daemon: daemon.kill(),
-    "stands still": lambda daemon: daemon.freeze(),
-    "hears nothing": lambda daemon: daemon.wire.deaf.add(daemon.host),
-    "can say nothing": lambda daemon: daemon.wire.silenced.add(daemon.host),
+    "stands still": lambda daemon: daemon.pause(),
+    "hears nothing": lambda daemon: daemon.wire.blocked_receivers.add(daemon.host),
+    "can say nothing": lambda daemon: daemon.wire.blocked_senders.add(daemon.host),
 }
 
 
@@ -179,7 +179,7 @@
         async def serve(daemon):
             answer, _ = await daemon.ask(objective_s=3.0)
             if isinstance(answer, slot_registry.Slot):
-                held = daemon.book.list_held()
+                held = daemon.registry.list_held()
                 context.held.append(len(held))
                 await asyncio.sleep(0.3)
                 daemon.admission.release(answer, 0.3)
@@ -187,10 +187,10 @@
         context.held = []
         pulse = [asyncio.ensure_future(serve(item)) for item in others]
         await asyncio.sleep(0.05)
-        first.freeze()
+        first.pause()
         pulse += [asyncio.ensure_future(serve(item)) for item in others]
         await asyncio.sleep(pause_s)
-        first.thaw()
+        first.resume()
         pulse += [asyncio.ensure_future(serve(item)) for item in others]
         await asyncio.wait(pulse, timeout=4.0)
         context.unserved = [task for task in pulse if not task.done()]
--- a/features/steps/serving_decisions_steps.py
+++ b/features/steps/serving_decisions_steps.py
@@ -84,7 +84,7 @@
 
 @when("{amount:d} requests are shared out over them")
 def step_share_out(context, amount):
-    context.shares = water_filling.weigh(context.candidates, amount)
+    context.shares = water_filling.compute_shares(context.candidates, amount)
 
 
 @then("they get {first:d}, {second:d} and {third:d} of them")
@@ -206,30 +206,30 @@
     "{owners:d} daemons with one item each share a target with {surplus:d} online "
     "requests too many of 8 slots, {times:d} times"
 )
-def step_yield(context, owners, surplus, times):
+def step_preempt(context, owners, surplus, times):
     online = 8 - owners + surplus
-    yielded = 0
+    preempted = 0
     for seed in range(times):
         for owner in range(owners):
             fleet = serving_fakes.Fleet(["t0"], seed=seed * owners + owner)
             fleet.report("others", {"t0": (online, owners - 1)})
             fleet.board.begin("t0", is_batch=True)
-            yielded += fleet.choices.count_to_preempt(fleet.targets["t0"])
-    context.mean = yielded / times / surplus
+            preempted += fleet.choices.count_to_preempt(fleet.targets["t0"])
+    context.mean = preempted / times / surplus
 
 
 @then("on average between {low:g} and {high:g} items give way for each one that has to")
-def step_yield_mean(context, low, high):
+def step_preempt_mean(context, low, high):
     assert low <= context.mean <= high, context.mean
 
 
 def _fill(context, online):
     context.fleet = serving_fakes.Fleet(["t0"])
     context.fleet.report("peer", {"t0": (online, 0)})
-    context.places = context.fleet.make_admission()
+    context.admission = context.fleet.make_admission()
 
 
-def _wish(priority, objective_s, left_s=5.0):
+def _make_slot_request(priority, objective_s, left_s=5.0):
     now_s = time.monotonic()
     return slot_queue.SlotRequest(
         service="lm",
@@ -248,29 +248,29 @@
         "timely background": (2, 0.4),
         "timely urgent": (0, 0.4),
     }
-    context.wishes = {
-        name.strip().strip('"'): _wish(*kinds[name.strip().strip('"')])
+    context.slot_requests = {
+        name.strip().strip('"'): _make_slot_request(*kinds[name.strip().strip('"')])
         for name in names.split(",")
     }
 
 
 @when("places become free one after the other")
 def step_free(context):
-    async def wait(name, wish):
-        await context.places.acquire(wish)
+    async def wait(name, slot_request):
+        await context.admission.acquire(slot_request)
         context.order.append(name)
 
     async def run():
         tasks = [
-            asyncio.ensure_future(wait(name, wish))
-            for name, wish in context.wishes.items()
+            asyncio.ensure_future(wait(name, slot_request))
+            for name, slot_request in context.slot_requests.items()
         ]
         await asyncio.sleep(0)
         for free in (8, 7, 6):
             # A target takes one request more than its slots; those placed before are
             # counted here already.
             context.fleet.report("peer", {"t0": (free, 0)})
-            context.places.dispatch()
+            context.admission.dispatch()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         await asyncio.wait(tasks, timeout=1)
@@ -294,14 +294,18 @@
 def step_hopeless(context, left_ms):
     async def run():
         waiting = [
-            asyncio.ensure_future(context.places.acquire(_wish(0, 30, 60)))
+            asyncio.ensure_future(
+                context.admission.acquire(_make_slot_request(0, 30, 60))
+            )
             for _ in range(context.count)
         ]
         await asyncio.sleep(0)
         began_s = time.monotonic()
-        context.granted = await context.places.acquire(_wish(0, 0.3, left_ms / 1000))
+        context.granted = await context.admission.acquire(
+            _make_slot_request(0, 0.3, left_ms / 1000)
+        )
         context.took_s = time.monotonic() - began_s
-        context.advice_s = context.places.queue.retry_after_s("lm")
+        context.advice_s = context.admission.queue.retry_after_s("lm")
         for task in waiting:
             task.cancel()
         await asyncio.wait(waiting)
@@ -323,10 +327,12 @@
 @when("the waiting request is cancelled as its place is granted")
 def step_cancel(context):
     async def run():
-        task = asyncio.ensure_future(context.places.acquire(_wish(0, 1)))
+        task = asyncio.ensure_future(
+            context.admission.acquire(_make_slot_request(0, 1))
+        )
         await asyncio.sleep(0)
         context.fleet.report("peer", {"t0": (3, 0)})
-        context.places.dispatch()
+        context.admission.dispatch()
         assert context.fleet.board.total("t0").online == 4
         task.cancel()
         await asyncio.wait((task,))
@@ -406,9 +412,9 @@
             board = load_table.LoadTable()
             newest = newest_version.NewestVersion()
             members = peer_registry.PeerRegistry(identity)
-            book = slot_registry.SlotRegistry(board)
+            registry = slot_registry.SlotRegistry(board)
             network = peers.PeerNetwork(
-                identity, members, board, newest, book, lambda: None
+                identity, members, board, newest, registry, lambda: None
             )
             context.newest.append(newest)
             network.connection_made(wire.make_transport(host))
@@ -476,18 +482,20 @@
 
     async def run():
         waiting = [
-            asyncio.ensure_future(context.places.acquire(_wish(0, waiting_s, 60)))
+            asyncio.ensure_future(
+                context.admission.acquire(_make_slot_request(0, waiting_s, 60))
+            )
             for _ in range(context.count)
         ]
         await asyncio.sleep(0)
-        wish = _wish(0, objective_ms / 1000)
-        wish = dataclasses.replace(wish, may_retry=which == "first")
-        asked = asyncio.ensure_future(context.places.acquire(wish))
+        slot_request = _make_slot_request(0, objective_ms / 1000)
+        slot_request = dataclasses.replace(slot_request, may_retry=which == "first")
+        asked = asyncio.ensure_future(context.admission.acquire(slot_request))
         done, _ = await asyncio.wait((asked,), timeout=0.05)
         context.is_refused = bool(done) and isinstance(
             asked.result(), slot_queue.Refused
         )
-        context.advice_s = context.places.queue.retry_after_s("lm")
+        context.advice_s = context.admission.queue.retry_after_s("lm")
         for task in (*waiting, asked):
             task.cancel()
         await asyncio.wait((*waiting, asked))
@@ -520,13 +528,13 @@
 
 
 @given("items of {events:d} events that take {event_ms:d} ms each")
-def step_pace(context, events, event_ms):
-    context.pace = item_estimates.ItemEstimator()
+def step_estimator(context, events, event_ms):
+    context.estimator = item_estimates.ItemEstimator()
     for _ in range(60):
-        context.pace.record_run(events, events * event_ms / 1000)
-    context.pace.record_item(events)
+        context.estimator.record_run(events, events * event_ms / 1000)
+    context.estimator.record_item(events)
 
 
 @then("an item with {events:d} events so far and {left_s:g} s left is {urgency}")
 def step_urgency(context, events, left_s, urgency):
-    assert context.pace.classify_urgency(events, left_s).name == urgency
+    assert context.estimator.classify_urgency(events, left_s).name == urgency
--- a/features/support/region_daemons.py
+++ b/features/support/region_daemons.py
@@ -23,8 +23,8 @@
 
     def __init__(self):
         self.networks = {}
-        self.silenced = set()
-        self.deaf = set()
+        self.blocked_senders = set()
+        self.blocked_receivers = set()
         self.datagrams = collections.Counter()
         self.bytes = collections.Counter()
 
@@ -41,7 +41,7 @@
         return Transport()
 
     def carry(self, sender, receiver, data):
-        if sender in self.silenced or receiver in self.deaf:
+        if sender in self.blocked_senders or receiver in self.blocked_receivers:
             return
         network = self.networks.get(receiver)
         if network is None:
@@ -65,14 +65,14 @@
         self.board = self.fleet.board
         self.roster = peer_registry.PeerRegistry(self.identity)
         self.roster.warmed_up_s = 0.0
-        self.book = slot_registry.SlotRegistry(self.board)
+        self.registry = slot_registry.SlotRegistry(self.board)
         self.newest = newest_version.NewestVersion()
         self.network = peers.PeerNetwork(
             self.identity,
             self.roster,
             self.board,
             self.newest,
-            self.book,
+            self.registry,
             lambda: None,
         )
         self.client = slot_client.SlotClient(
@@ -80,7 +80,7 @@
             "z1",
             self.roster,
             self.fleet.directory,
-            self.book,
+            self.registry,
             self.network.send_slot_message,
         )
         queue = slot_queue.SlotQueue(
@@ -95,7 +95,7 @@
         )
         self.network.connect(self.client, self.coordinator)
         self.network.connection_made(wire.make_transport(self.host))
-        self.admission = self.fleet.make_admission(self.client, self.book, queue)
+        self.admission = self.fleet.make_admission(self.client, self.registry, queue)
         self.wire = wire
         self.task = None
         wire.networks[self.host] = self.network
@@ -105,17 +105,17 @@
 
     def kill(self):
         self.wire.networks.pop(self.host, None)
-        self.wire.silenced.add(self.host)
+        self.wire.blocked_senders.add(self.host)
         self.task.cancel()
 
-    def freeze(self):
+    def pause(self):
         """Hear and say nothing, as a process that stands still."""
-        self.wire.silenced.add(self.host)
-        self.wire.deaf.add(self.host)
+        self.wire.blocked_senders.add(self.host)
+        self.wire.blocked_receivers.add(self.host)
 
-    def thaw(self):
-        self.wire.silenced.discard(self.host)
-        self.wire.deaf.discard(self.host)
+    def resume(self):
+        self.wire.blocked_senders.discard(self.host)
+        self.wire.blocked_receivers.discard(self.host)
 
     def find_coordinator(self):
         ranked = self.roster.rank("near", time.monotonic())
@@ -123,9 +123,9 @@
 
     async def ask(self, objective_s=0.5):
         now_s = time.monotonic()
-        wish = slot_queue.SlotRequest("lm", 0, now_s + objective_s, now_s + 5.0)
+        slot_request = slot_queue.SlotRequest("lm", 0, now_s + objective_s, now_s + 5.0)
         began_s = time.monotonic()
-        answer = await self.admission.acquire(wish)
+        answer = await self.admission.acquire(slot_request)
         return answer, time.monotonic() - began_s
 
 
--- a/features/support/serving_fakes.py
+++ b/features/support/serving_fakes.py
@@ -49,10 +49,10 @@
             lambda key, _value: self.targets[key]
         )
         self.board = load_table.LoadTable()
-        place = target_selection.Location(zone, "near", {"z1": "near", "z2": "far"})
+        location = target_selection.Location(zone, "near", {"z1": "near", "z2": "far"})
         self.board.same_region_age_s = age_s
         self.choices = target_selection.TargetSelector(
-            place, self.directory, self.board, random.Random(seed)
+            location, self.directory, self.board, random.Random(seed)
         )
         for number, name in enumerate(names):
             self.add(name, zone=(zones or {}).get(name, "z1"), version=number + 1)
@@ -60,10 +60,10 @@
     def make_queue(self, seed=1):
         return slot_queue.SlotQueue(self.choices, self.board, random.Random(seed))
 
-    def make_admission(self, client=None, book=None, queue=None):
+    def make_admission(self, client=None, registry=None, queue=None):
         return admission.Admission(
             queue or self.make_queue(),
-            book or slot_registry.SlotRegistry(self.board),
+            registry or slot_registry.SlotRegistry(self.board),
             client,
         )
 
--- a/src/endivevane/serving/admission.py
+++ b/src/endivevane/serving/admission.py
@@ -1,4 +1,4 @@
-"""Getting places for online requests, here or from the region's coordinator."""
+"""Acquiring slots for online requests, locally or from the region's coordinator."""
 
 from __future__ import annotations
 
@@ -7,73 +7,77 @@
 
 from endivevane.serving import model, slot_client, slot_queue, slot_registry
 
-# Waiting requests are looked at this often, besides after each change of the load.
+# Interval between two passes over waiting requests, besides after each load change.
 _TICK_S = 0.02
 
 
 class Admission:
-    """Gets places for the online requests of this daemon.
+    """Acquires and releases slots for the online requests of this daemon.
 
-    :param client: asks the coordinator, ``None`` where there is none
-    :ivar queue: where requests wait that this daemon decides on itself
+    :param client: client of the coordinator, ``None`` where there is none
+    :ivar queue: queue of the requests that this daemon decides on itself
     """
 
     def __init__(
         self,
         queue: slot_queue.SlotQueue,
-        book: slot_registry.SlotRegistry,
+        registry: slot_registry.SlotRegistry,
         client: slot_client.SlotClient | None = None,
     ) -> None:
         self.queue = queue
-        self._book = book
+        self._registry = registry
         self._client = client
         self._timer: asyncio.TimerHandle | None = None
 
     async def acquire(
-        self, wish: slot_queue.SlotRequest
+        self, slot_request: slot_queue.SlotRequest
     ) -> slot_registry.Slot | slot_queue.Refused:
-        """Return a place, which counts from now on, or why there is none."""
+        """Return a slot, which counts as held from now on, or a refusal."""
         if self._client is not None and self._client.is_active:
-            answer = await self._client.ask(wish)
+            answer = await self._client.ask(slot_request)
             if answer is not None:
                 return answer
-        return await self._acquire_here(wish)
+        return await self._acquire_here(slot_request)
 
     def release(
-        self, place: slot_registry.Slot, hold_s: float, start_s: float | None = None
+        self,
+        slot: slot_registry.Slot,
+        hold_s: float,
+        first_event_s: float | None = None,
     ) -> None:
-        """Give a place back.
+        """Release a slot.
 
         :param hold_s: how long the request held it
-        :param start_s: time from the place to the first event, ``None`` without any
+        :param first_event_s: time from the grant to the first event, ``None`` if there
+            was no event
         """
-        self._book.close(place)
-        self.queue.record_hold(place.target.service, hold_s)
-        if self._client is not None and place.coordinator:
-            self._client.end(place, hold_s, start_s)
+        self._registry.free(slot)
+        self.queue.record_hold(slot.target.service, hold_s)
+        if self._client is not None and slot.coordinator:
+            self._client.send_release(slot, hold_s, first_event_s)
         self.dispatch()
 
     def dispatch(self) -> None:
-        """Give free places to those who wait here."""
-        self.queue.pump(time.monotonic())
+        """Grant free slots to the requests that wait on this daemon."""
+        self.queue.grant_free_slots(time.monotonic())
 
     async def _acquire_here(
-        self, wish: slot_queue.SlotRequest
+        self, slot_request: slot_queue.SlotRequest
     ) -> slot_registry.Slot | slot_queue.Refused:
-        """Get a place by what this daemon knows of the loads."""
+        """Acquire a slot by this daemon's own view of the loads."""
         future: asyncio.Future[slot_registry.Slot | slot_queue.Refused]
         future = asyncio.get_running_loop().create_future()
 
-        def settle(verdict: slot_queue.Verdict) -> None:
+        def resolve(decision: slot_queue.Decision) -> None:
             if future.done():
-                # The client has left; its place was not counted.
+                # The client has disconnected; its slot has not been counted.
                 return
-            if isinstance(verdict, slot_queue.Refused):
-                future.set_result(verdict)
+            if isinstance(decision, slot_queue.Refused):
+                future.set_result(decision)
                 return
-            future.set_result(self._open(verdict.target))
+            future.set_result(self._hold_slot(decision.target))
 
-        waiter = self.queue.ask(wish, settle, time.monotonic())
+        waiter = self.queue.ask(slot_request, resolve, time.monotonic())
         if waiter is None:
             return future.result()
         self._arm()
@@ -81,18 +85,18 @@
             return await future
         except asyncio.CancelledError:
             if future.done() and not future.cancelled():
-                self._give_back(future.result())
+                self._release_answer(future.result())
             raise
         finally:
-            self.queue.withdraw(waiter, time.monotonic())
+            self.queue.cancel(waiter, time.monotonic())
 
-    def _open(self, target: model.Target) -> slot_registry.Slot:
-        return self._book.open(target, is_batch=False)
+    def _hold_slot(self, target: model.Target) -> slot_registry.Slot:
+        return self._registry.hold(target, is_batch=False)
 
-    def _give_back(self, answer: slot_registry.Slot | slot_queue.Refused) -> None:
-        """Undo the count of a place that nobody took."""
+    def _release_answer(self, answer: slot_registry.Slot | slot_queue.Refused) -> None:
+        """Free a slot that was granted as its request was cancelled."""
         if isinstance(answer, slot_registry.Slot):
-            self._book.close(answer)
+            self._registry.free(answer)
 
     def _arm(self) -> None:
         if self._timer is not None:
--- a/src/endivevane/serving/batch_slots.py
+++ b/src/endivevane/serving/batch_slots.py
@@ -1,4 +1,4 @@
-"""Getting places for batch items, by this daemon's view or from the coordinator."""
+"""Acquiring slots for batch items, by this daemon's view or from the coordinator."""
 
 from __future__ import annotations
 
@@ -14,115 +14,119 @@
     target_selection,
 )
 
-# Items that a daemon starts in one round at most, and the shortest time between rounds.
+# Most items that a daemon starts in one round, and the shortest time between rounds.
 MAX_STARTS_PER_ROUND = 4
 MIN_ROUND_INTERVAL_S = 0.04
-# The longest time between rounds where the coordinator tells of places as they come.
-_LONGEST_ROUND_S = 0.15
-# Items do not return to a target for this long after some have left it.
+# Longest time between rounds where the coordinator notifies of slots as it grants them.
+_MAX_ROUND_INTERVAL_S = 0.15
+# No item is sent to a target for this long after items on it have been preempted.
 COOLDOWN_S = 0.5
 
 
 class BatchSlots:
-    """Gets and frees the places of this daemon's items.
+    """Acquires and releases the slots of this daemon's items.
 
-    :param client: asks the coordinator, ``None`` where there is none
+    :param client: client of the coordinator, ``None`` where there is none
     """
 
     def __init__(
         self,
-        choices: target_selection.TargetSelector,
-        board: load_table.LoadTable,
-        book: slot_registry.SlotRegistry,
+        selector: target_selection.TargetSelector,
+        loads: load_table.LoadTable,
+        registry: slot_registry.SlotRegistry,
         client: slot_client.SlotClient | None = None,
     ) -> None:
-        self._choices = choices
-        self._board = board
-        self._book = book
+        self._selector = selector
+        self._loads = loads
+        self._registry = registry
         self._client = client
-        # Target -> monotonic time at which items last left it for online requests.
-        self._yielded_s: dict[str, float] = {}
+        # Target -> monotonic time of its last preemption.
+        self._preempted_s: dict[str, float] = {}
 
     @property
     def is_coordinated(self) -> bool:
-        """Whether another daemon gives out the places and says which items leave."""
+        """Whether another daemon grants the slots and chooses the items to preempt."""
         return self._client is not None and self._client.is_active
 
     @property
     def round_interval_s(self) -> float:
-        """Time between two rounds; what is known of the loads is as old."""
+        """Time between two rounds; without a coordinator, at least the loads' age."""
         if self.is_coordinated:
-            return _LONGEST_ROUND_S
-        return max(MIN_ROUND_INTERVAL_S, self._board.same_region_age_s)
+            return _MAX_ROUND_INTERVAL_S
+        return max(MIN_ROUND_INTERVAL_S, self._loads.same_region_age_s)
 
     def begin_round(self, waiting: abc.Mapping[str, int]) -> SlotRound:
-        """Return where the items of one round get their places.
+        """Return the source of slots for the items of one round.
 
-        :param waiting: items that could start, by service
+        :param waiting: number of items that could start, by service
         """
         now_s = time.monotonic()
-        self._choices.record_peaks(now_s)
+        self._selector.record_peaks(now_s)
         if self._client is None:
-            return _OwnViewRound(self._choices, self._book, self._list_resting(now_s))
-        self._client.refresh_batch(waiting if self._client.is_active else {})
+            return _LocalRound(
+                self._selector, self._registry, self._list_cooling_down(now_s)
+            )
+        self._client.refresh_batch_requests(waiting if self._client.is_active else {})
         if self._client.is_active:
             return _CoordinatedRound(self._client)
-        return _OwnViewRound(self._choices, self._book, self._list_resting(now_s))
+        return _LocalRound(
+            self._selector, self._registry, self._list_cooling_down(now_s)
+        )
 
     def record_preemption(self, target_id: str) -> None:
-        """Note that items leave a target for online requests."""
-        self._yielded_s[target_id] = time.monotonic()
+        """Record that items on a target are preempted, which starts its cooldown."""
+        self._preempted_s[target_id] = time.monotonic()
 
-    def release(self, place: slot_registry.Slot, hold_s: float) -> None:
-        """Give a place back.
+    def release(self, slot: slot_registry.Slot, hold_s: float) -> None:
+        """Release a slot.
 
         :param hold_s: how long the item held it
         """
-        self._book.close(place)
-        if self._client is not None and place.coordinator:
-            self._client.end(place, hold_s)
+        self._registry.free(slot)
+        if self._client is not None and slot.coordinator:
+            self._client.send_release(slot, hold_s)
 
-    def _list_resting(self, now_s: float) -> frozenset[str]:
-        """Return the targets that items have left a moment ago."""
-        for target_id, yielded_s in list(self._yielded_s.items()):
-            if now_s - yielded_s > COOLDOWN_S:
-                del self._yielded_s[target_id]
-        return frozenset(self._yielded_s)
+    def _list_cooling_down(self, now_s: float) -> frozenset[str]:
+        """Return the targets in cooldown after a preemption."""
+        for target_id, preempted_s in list(self._preempted_s.items()):
+            if now_s - preempted_s > COOLDOWN_S:
+                del self._preempted_s[target_id]
+        return frozenset(self._preempted_s)
 
 
 class SlotRound(typing.Protocol):
-    """Places for the items that a daemon starts at one moment."""
+    """The source of slots for the items that a daemon starts in one round."""
 
     def find(
         self, service: str, urgency: item_estimates.Urgency, due_left_s: float
     ) -> slot_registry.Slot | None:
-        """Return a place for an item, ``None`` if there is none now.
+        """Return a slot for an item, ``None`` if none is free now.
 
         :param due_left_s: time until the item is due
         """
 
 
-class _OwnViewRound:
-    """Takes places by what this daemon knows of the loads."""
+class _LocalRound:
+    """Chooses slots by this daemon's own view of the loads."""
 
     def __init__(
         self,
-        choices: target_selection.TargetSelector,
-        book: slot_registry.SlotRegistry,
-        resting: frozenset[str],
+        selector: target_selection.TargetSelector,
+        registry: slot_registry.SlotRegistry,
+        cooling_down: frozenset[str],
     ) -> None:
-        self._choices = choices
-        self._book = book
-        self._resting = resting
+        self._selector = selector
+        self._registry = registry
+        self._cooling_down = cooling_down
         self._full: set[str] = set()
-        # (service, whether urgent) -> items that may still start.
+        # (service, whether urgent) -> number of items that may still start.
         self._budgets: dict[tuple[str, bool], int] = {}
         self._starts = 0
 
     def find(
         self, service: str, urgency: item_estimates.Urgency, due_left_s: float
     ) -> slot_registry.Slot | None:
-        """Return a place for an item, ``None`` if there is none now."""
+        """Return a slot for an item, ``None`` if none is free now."""
         now_s = time.monotonic()
         is_urgent = urgency is item_estimates.Urgency.URGENT
         if self._starts >= MAX_STARTS_PER_ROUND or (
@@ -131,22 +135,24 @@
             return None
         kind = (service, is_urgent)
         if kind not in self._budgets:
-            self._budgets[kind] = self._choices.draw_batch_share(
+            self._budgets[kind] = self._selector.draw_batch_share(
                 service, now_s, is_urgent
             )
         if self._budgets[kind] <= 0:
             return None
-        target = self._choices.choose_batch(service, now_s, self._resting, is_urgent)
+        target = self._selector.choose_batch(
+            service, now_s, self._cooling_down, is_urgent
+        )
         if target is None:
             self._full.add(service)
             return None
         self._budgets[kind] -= 1
         self._starts += 1
-        return self._book.open(target, is_batch=True)
+        return self._registry.hold(target, is_batch=True)
 
 
 class _CoordinatedRound:
-    """Takes the places that the coordinator has given, and asks for more."""
+    """Uses the slots that the coordinator has granted, and requests more."""
 
     def __init__(self, client: slot_client.SlotClient) -> None:
         self._client = client
@@ -154,5 +160,5 @@
     def find(
         self, service: str, urgency: item_estimates.Urgency, due_left_s: float
     ) -> slot_registry.Slot | None:
-        """Return a place for an item, ``None`` if there is none now."""
-        return self._client.find_batch(service, urgency, due_left_s)
+        """Return a slot for an item, ``None`` if none is free now."""
+        return self._client.find_batch_slot(service, urgency, due_left_s)
--- a/src/endivevane/serving/item_estimates.py
+++ b/src/endivevane/serving/item_estimates.py
@@ -1,4 +1,4 @@
-"""How long batch items take, learned from those that ended."""
+"""Estimates of how long batch items run, learned from those that have ended."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 import enum
 
 _WEIGHT = 0.1
-# Time between events and events of an item, until some items have ended.
-_FIRST_EVENT_S = 0.03
-_FIRST_EVENTS = 100.0
-# Time of an item besides its events: connection, queue and prefill.
-_START_S = 0.2
-# An item with less time to spare than this misses its due time unless it runs now: a
-# pulse of online load and a gap after it last about that long.
-_URGENT_SPARE_S = 4.0
+# Time between events and events of an item, until some items have ended here.
+_INITIAL_EVENT_INTERVAL_S = 0.03
+_INITIAL_EVENTS_PER_ITEM = 100.0
+# Time of an item besides its events: connection, queueing and prefill.
+_OVERHEAD_S = 0.2
+# An item with less slack than this misses its due time unless it runs now: a burst of
+# online load and the gap after it last about that long.
+_URGENT_SLACK_S = 4.0
 
 
 class Urgency(enum.IntEnum):
-    """In which order items run."""
+    """The order in which items run."""
 
     URGENT = 0
     NORMAL = 1
@@ -26,26 +26,26 @@
 
 @dataclasses.dataclass(slots=True)
 class ItemEstimator:
-    """Means over the items that ended here.
+    """Moving averages over the items that ended on this daemon.
 
     :ivar event_interval_s: time between two events of a running item
-    :ivar events_per_item: events of a whole item
+    :ivar events_per_item: number of events of a complete item
     """
 
-    event_interval_s: float = _FIRST_EVENT_S
-    events_per_item: float = _FIRST_EVENTS
-    _has_seen: bool = False
+    event_interval_s: float = _INITIAL_EVENT_INTERVAL_S
+    events_per_item: float = _INITIAL_EVENTS_PER_ITEM
+    _has_items: bool = False
 
     def record_run(self, events: int, seconds: float) -> None:
-        """Take in a run that brought events."""
+        """Record a run that delivered events."""
         if events <= 1 or seconds <= 0:
             return
         self.event_interval_s += _WEIGHT * (seconds / events - self.event_interval_s)
 
     def record_item(self, events: int) -> None:
-        """Take in the number of events of a whole item."""
-        weight = _WEIGHT if self._has_seen else 1.0
-        self._has_seen = True
+        """Record the number of events of a complete item."""
+        weight = _WEIGHT if self._has_items else 1.0
+        self._has_items = True
         self.events_per_item += weight * (events - self.events_per_item)
 
     def classify_urgency(self, events_so_far: int, left_s: float) -> Urgency:
@@ -53,10 +53,10 @@
 
         :param left_s: time until it is due
         """
-        missing = max(0.0, self.events_per_item - events_so_far)
-        spare_s = left_s - missing * self.event_interval_s - _START_S
-        if spare_s < 0:
+        remaining = max(0.0, self.events_per_item - events_so_far)
+        slack_s = left_s - remaining * self.event_interval_s - _OVERHEAD_S
+        if slack_s < 0:
             return Urgency.LATE
-        if spare_s < _URGENT_SPARE_S:
+        if slack_s < _URGENT_SLACK_S:
             return Urgency.URGENT
         return Urgency.NORMAL
--- a/src/endivevane/serving/preemption.py
+++ b/src/endivevane/serving/preemption.py
@@ -1,4 +1,4 @@
-"""Which batch items on a target give way to online requests."""
+"""Choosing the batch items to preempt for online requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate(typing.Generic[T]):
-    """An item that runs.
+    """A running item.
 
     :param started_s: when its run began, on the caller's clock
     """
@@ -26,13 +26,14 @@
 def choose_items(
     running: abc.Iterable[Candidate[T]], surplus: int, batch: int
 ) -> list[T]:
-    """Return the items that leave a target.
+    """Return the items on a target to preempt.
 
-    Late items go first; among others, those that started last lose least. Urgent items
-    keep some places.
+    Late items are preempted first, then normal ones, then urgent ones; within each
+    group those that started last, since they lose the least work. Urgent items keep
+    some slots.
 
-    :param running: this daemon's items on the target
-    :param surplus: how many of them should leave
+    :param running: the caller's items on the target
+    :param surplus: how many of them should be preempted
     :param batch: items of all daemons on the target
     """
     ordered = sorted(
@@ -41,7 +42,7 @@
     chosen: list[T] = []
     for candidate in ordered[:surplus]:
         is_urgent = candidate.urgency is item_estimates.Urgency.URGENT
-        if is_urgent and batch - len(chosen) <= target_selection.URGENT_PLACES:
+        if is_urgent and batch - len(chosen) <= target_selection.URGENT_SLOTS:
             break
         chosen.append(candidate.item)
     return chosen
--- a/src/endivevane/serving/slot_client.py
+++ b/src/endivevane/serving/slot_client.py
@@ -1,4 +1,4 @@
-"""Asking the coordinator of the region for places on targets."""
+"""Requesting slots on targets from the coordinator of the region."""
 
 from __future__ import annotations
 
@@ -19,222 +19,236 @@
     target_registry,
 )
 
-# A request asks again when there is no answer within this time, which is several round
-# trips in a region, and passes the coordinator over after as long again.
-_ANSWER_S = 0.025
-# The same for a daemon that says that it does not coordinate.
-_NOT_COORDINATING_S = 0.3
-# A waiting request asks again after this time, in case the answer was lost.
-_REPEAT_S = 0.15
-# Silence of the coordinator, while a request waits there, after which the next one
-# in rank is asked.
-_SILENCE_S = 0.5
-# Batch items of one service that ask for places at the same time.
-_MOST_BATCH_ASKS = 8
-# A place for a batch item that nobody takes for this long is given back.
-_UNUSED_S = 0.2
+# A request is repeated when there is no answer within this time, which is several round
+# trips in a region; after as long again the coordinator is suspected.
+_ANSWER_TIMEOUT_S = 0.025
+# A daemon that answers that it does not coordinate is suspected for this long.
+_NOT_COORDINATING_SUSPICION_S = 0.3
+# A queued request is repeated after this time, in case the answer was lost.
+_RETRY_INTERVAL_S = 0.15
+# A coordinator that does not answer a queued request for this long is suspected, and
+# the next one in rank is asked.
+_UNRESPONSIVE_AFTER_S = 0.5
+# Most pending slot requests for batch items of one service.
+_MAX_BATCH_REQUESTS = 8
+# A slot granted for a batch item is released when it stays unused for this long.
+_UNUSED_TIMEOUT_S = 0.2
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _OnlineAsk:
-    """A request that has asked and is not settled.
+class _PendingRequest:
+    """A slot request of an online request that is not resolved.
 
-    :ivar heard_s: monotonic time of the last answer, 0 if there was none
+    :ivar last_seen_s: monotonic time of the last answer, 0 if there was none
     """
 
     coordinator: str
     answer: asyncio.Future[slot_registry.Slot | slot_queue.Refused | None]
-    heard_s: float = 0.0
+    last_seen_s: float = 0.0
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class _BatchAsk:
-    """A place that is wanted for a batch item.
+class _PendingBatchRequest:
+    """A slot request for a batch item.
 
-    :ivar asked_s: monotonic time of the last message about it
+    :ivar last_sent_s: monotonic time at which it was last sent
     """
 
     message: slot_messages.Acquire
     coordinator: str
-    asked_s: float
+    last_sent_s: float
 
 
 class SlotClient:
-    """Gets places from the coordinator, for a daemon that does not coordinate.
+    """Gets slots from the coordinator, for a daemon that does not coordinate.
 
-    :param send: sends a message to the daemon of a name
+    :param send: sends a message to the daemon with a name
     """
 
     def __init__(
         self,
         identity: peer_registry.Identity,
         availability_zone: str,
-        members: peer_registry.PeerRegistry,
+        peers: peer_registry.PeerRegistry,
         targets: target_registry.TargetRegistry,
-        book: slot_registry.SlotRegistry,
+        registry: slot_registry.SlotRegistry,
         send: slot_messages.Send,
     ) -> None:
         self._identity = identity
         self._availability_zone = availability_zone
-        self._roster = members
+        self._peers = peers
         self._targets = targets
-        self._book = book
+        self._registry = registry
         self._send = send
-        self._online: dict[int, _OnlineAsk] = {}
-        self._batch: dict[int, _BatchAsk] = {}
-        # Places that batch items have not taken yet, with the time of their coming.
+        self._online: dict[int, _PendingRequest] = {}
+        self._batch: dict[int, _PendingBatchRequest] = {}
+        # Slots that no batch item uses yet, with the time at which they were granted.
         self._granted: dict[int, tuple[slot_registry.Slot, float]] = {}
         self._on_granted: abc.Callable[[], None] = _do_nothing
-        self._on_give_way: abc.Callable[[int], None] = _ignore_number
+        self._on_preempted: abc.Callable[[int], None] = _ignore_number
 
     def set_batch_callbacks(
         self,
         on_granted: abc.Callable[[], None],
-        on_give_way: abc.Callable[[int], None],
+        on_preempted: abc.Callable[[int], None],
     ) -> None:
-        """Set what is called when an item may start, and when one has to leave."""
+        """Set what is called when an item may start, and when one is preempted."""
         self._on_granted = on_granted
-        self._on_give_way = on_give_way
+        self._on_preempted = on_preempted
 
     @property
     def is_active(self) -> bool:
-        """Whether another daemon gives out the places of this region."""
-        if not self._roster.is_coordinated:
+        """Whether another daemon grants the slots of this region."""
+        if not self._peers.is_coordinated:
             return False
         first = self._find_coordinator()
         return first not in (None, self._identity.name)
 
     async def ask(
-        self, wish: slot_queue.SlotRequest
+        self, slot_request: slot_queue.SlotRequest
     ) -> slot_registry.Slot | slot_queue.Refused | None:
-        """Return a place or a refusal, ``None`` when no coordinator answers."""
+        """Return a slot or a refusal, ``None`` when no coordinator answers."""
         for _ in range(peer_registry.CANDIDATE_COUNT):
             name = self._find_coordinator()
             if name is None or name == self._identity.name:
                 return None
-            answer = await self._ask_one(name, wish)
+            answer = await self._ask_coordinator(name, slot_request)
             if answer is not None:
                 return answer
         metrics.PLACES_WITHOUT_COORDINATOR.inc()
         return None
 
-    def end(
-        self, place: slot_registry.Slot, hold_s: float, start_s: float | None = None
+    def send_release(
+        self,
+        slot: slot_registry.Slot,
+        hold_s: float,
+        first_event_s: float | None = None,
     ) -> None:
-        """Tell the coordinator that a place is free again."""
+        """Tell the coordinator that a slot is free again."""
         message = slot_messages.Release(
-            self._identity.incarnation, place.number, hold_s, start_s
+            self._identity.incarnation, slot.number, hold_s, first_event_s
         )
-        self._send(place.coordinator, message)
+        self._send(slot.coordinator, message)
 
     def handle(self, sender: str, message: slot_messages.Message) -> None:
-        """Take in an answer of a coordinator."""
-        self._take(message, sender)
+        """Handle a message from a coordinator."""
+        self._handle(message, sender)
 
-    def find_batch(
+    def find_batch_slot(
         self, service: str, urgency: item_estimates.Urgency, due_left_s: float
     ) -> slot_registry.Slot | None:
-        """Return a place for a batch item, or ask for one.
+        """Return a slot granted for a batch item, or request one.
 
         :param due_left_s: time until the item is due
         """
         now_s = time.monotonic()
-        for number, (place, _) in self._granted.items():
-            if place.target.service == service:
+        for number, (slot, _) in self._granted.items():
+            if slot.target.service == service:
                 del self._granted[number]
-                return place
-        asked = sum(1 for item in self._batch.values() if _is_for(item, service))
-        if asked < _MOST_BATCH_ASKS:
-            self._ask_for_batch(service, urgency, due_left_s, now_s)
+                return slot
+        pending = sum(
+            1 for item in self._batch.values() if _is_for_service(item, service)
+        )
+        if pending < _MAX_BATCH_REQUESTS:
+            self._request_batch_slot(service, urgency, due_left_s, now_s)
         return None
 
-    def refresh_batch(self, waiting: abc.Mapping[str, int]) -> None:
-        """Repeat the asks for batch items that still wait, and withdraw the others.
+    def refresh_batch_requests(self, waiting: abc.Mapping[str, int]) -> None:
+        """Repeat the requests for batch items that still wait, and cancel the others.
 
-        :param waiting: items that could start, by service
+        :param waiting: number of items that could start, by service
         """
         now_s = time.monotonic()
         left = dict(waiting)
-        for number, asked in list(self._batch.items()):
-            service = asked.message.service
+        for number, pending in list(self._batch.items()):
+            service = pending.message.service
             left[service] = left.get(service, 0) - 1
-            if left[service] < 0 or asked.coordinator != self._find_coordinator():
+            if left[service] < 0 or pending.coordinator != self._find_coordinator():
                 del self._batch[number]
-                self._withdraw(number, asked.coordinator)
-            elif now_s - asked.asked_s >= _REPEAT_S:
-                asked.asked_s = now_s
-                self._send(asked.coordinator, asked.message)
-        for number, (place, granted_s) in list(self._granted.items()):
-            is_wanted = waiting.get(place.target.service, 0) > 0
-            if is_wanted and now_s - granted_s < _UNUSED_S:
+                self._release_unused(number, pending.coordinator)
+            elif now_s - pending.last_sent_s >= _RETRY_INTERVAL_S:
+                pending.last_sent_s = now_s
+                self._send(pending.coordinator, pending.message)
+        for number, (slot, granted_s) in list(self._granted.items()):
+            is_wanted = waiting.get(slot.target.service, 0) > 0
+            if is_wanted and now_s - granted_s < _UNUSED_TIMEOUT_S:
                 continue
             del self._granted[number]
-            self._book.close(place)
-            self._withdraw(number, place.coordinator)
+            self._registry.free(slot)
+            self._release_unused(number, slot.coordinator)
 
-    async def _ask_one(
-        self, name: str, wish: slot_queue.SlotRequest
+    async def _ask_coordinator(
+        self, name: str, slot_request: slot_queue.SlotRequest
     ) -> slot_registry.Slot | slot_queue.Refused | None:
-        """Return what one coordinator answers, ``None`` when it does not."""
-        number = self._book.make_number()
+        """Return the answer of one coordinator, ``None`` when it does not answer."""
+        number = self._registry.allocate_number()
         future: asyncio.Future[slot_registry.Slot | slot_queue.Refused | None]
         future = asyncio.get_running_loop().create_future()
-        asked = _OnlineAsk(name, future)
-        self._online[number] = asked
-        is_settled = False
+        pending = _PendingRequest(name, future)
+        self._online[number] = pending
+        is_resolved = False
         try:
-            self._send(name, self._make_ask(number, wish))
-            answer = await self._wait(asked, number, wish)
-            is_settled = future.done()
+            self._send(name, self._make_acquire(number, slot_request))
+            answer = await self._wait(pending, number, slot_request)
+            is_resolved = future.done()
             return answer
         except asyncio.CancelledError:
             if future.done() and not future.cancelled():
-                self._give_back(future.result())
+                self._release_answer(future.result())
             raise
         finally:
             del self._online[number]
-            if not is_settled:
-                self._withdraw(number, name)
+            if not is_resolved:
+                self._release_unused(number, name)
 
     async def _wait(
-        self, asked: _OnlineAsk, number: int, wish: slot_queue.SlotRequest
+        self,
+        pending: _PendingRequest,
+        number: int,
+        slot_request: slot_queue.SlotRequest,
     ) -> slot_registry.Slot | slot_queue.Refused | None:
-        """Wait for the verdict as long as the coordinator gives signs of life."""
+        """Wait for the decision for as long as the coordinator is responsive."""
         sent_s = time.monotonic()
         while True:
-            limit_s = _REPEAT_S if asked.heard_s else _ANSWER_S
-            await asyncio.wait((asked.answer,), timeout=limit_s)
-            if asked.answer.done():
-                return asked.answer.result()
+            interval_s = _RETRY_INTERVAL_S if pending.last_seen_s else _ANSWER_TIMEOUT_S
+            await asyncio.wait((pending.answer,), timeout=interval_s)
+            if pending.answer.done():
+                return pending.answer.result()
             now_s = time.monotonic()
-            patience_s = _SILENCE_S if asked.heard_s else 2 * _ANSWER_S
-            if now_s - max(sent_s, asked.heard_s) >= patience_s:
-                logs.limited_info("coordinator_silent", coordinator=asked.coordinator)
-                self._roster.suspect(asked.coordinator, now_s)
+            timeout_s = (
+                _UNRESPONSIVE_AFTER_S if pending.last_seen_s else 2 * _ANSWER_TIMEOUT_S
+            )
+            if now_s - max(sent_s, pending.last_seen_s) >= timeout_s:
+                logs.limited_info("coordinator_silent", coordinator=pending.coordinator)
+                self._peers.suspect(pending.coordinator, now_s)
                 return None
-            self._send(asked.coordinator, self._make_ask(number, wish))
+            self._send(pending.coordinator, self._make_acquire(number, slot_request))
 
-    def _make_ask(
-        self, number: int, wish: slot_queue.SlotRequest
+    def _make_acquire(
+        self, number: int, slot_request: slot_queue.SlotRequest
     ) -> slot_messages.Acquire:
         now_s = time.monotonic()
-        only = None if wish.allowed is None else tuple(sorted(wish.allowed))
+        allowed_targets = (
+            None
+            if slot_request.allowed is None
+            else tuple(sorted(slot_request.allowed))
+        )
         return slot_messages.Acquire(
             incarnation=self._identity.incarnation,
             number=number,
-            service=wish.service,
+            service=slot_request.service,
             availability_zone=self._availability_zone,
-            priority=wish.priority,
-            objective_left_s=wish.objective_s - now_s,
-            deadline_left_s=wish.deadline_s - now_s,
-            may_return=wish.may_retry,
-            excluded=tuple(sorted(wish.excluded)),
-            avoided=self._list_avoided(wish.service, now_s),
-            only=only,
-            request=wish.request,
+            priority=slot_request.priority,
+            objective_left_s=slot_request.objective_s - now_s,
+            deadline_left_s=slot_request.deadline_s - now_s,
+            client_may_retry=slot_request.may_retry,
+            excluded=tuple(sorted(slot_request.excluded)),
+            avoided=self._list_avoided(slot_request.service, now_s),
+            allowed_targets=allowed_targets,
+            request=slot_request.request,
         )
 
-    def _ask_for_batch(
+    def _request_batch_slot(
         self,
         service: str,
         urgency: item_estimates.Urgency,
@@ -246,7 +260,7 @@
             return
         message = slot_messages.Acquire(
             incarnation=self._identity.incarnation,
-            number=self._book.make_number(),
+            number=self._registry.allocate_number(),
             service=service,
             availability_zone=self._availability_zone,
             is_batch=True,
@@ -254,11 +268,11 @@
             objective_left_s=due_left_s,
             avoided=self._list_avoided(service, now_s),
         )
-        self._batch[message.number] = _BatchAsk(message, name, now_s)
+        self._batch[message.number] = _PendingBatchRequest(message, name, now_s)
         self._send(name, message)
 
     def _list_avoided(self, service: str, now_s: float) -> tuple[str, ...]:
-        """Return the targets that this daemon has seen fail, or that are leaving."""
+        """Return the targets that this daemon has seen fail, or that are draining."""
         return tuple(
             known.target.target_id
             for known in self._targets.list_service(service)
@@ -269,81 +283,81 @@
         )
 
     def _find_coordinator(self) -> str | None:
-        ranked = self._roster.rank(self._identity.region, time.monotonic())
+        ranked = self._peers.rank(self._identity.region, time.monotonic())
         return ranked[0] if ranked else None
 
     @functools.singledispatchmethod
-    def _take(self, message: typing.Any, sender: str) -> None:
-        raise TypeError(f"not an answer: {type(message).__name__}")
+    def _handle(self, message: typing.Any, sender: str) -> None:
+        raise TypeError(f"not a coordinator's answer: {type(message).__name__}")
 
-    @_take.register
+    @_handle.register
     def _(self, message: slot_messages.Granted, sender: str) -> None:
         number = message.number
-        if self._book.is_held(number):
-            # The answer has come twice.
+        if self._registry.is_held(number):
+            # A duplicate of the answer.
             return
-        asked = self._online.get(number)
+        pending = self._online.get(number)
         is_batch = self._batch.pop(number, None) is not None
-        is_open = asked is not None and not asked.answer.done()
+        is_open = pending is not None and not pending.answer.done()
         known = self._targets.find(message.target_id)
         if known is None or not (is_open or is_batch):
-            self._withdraw(number, sender)
-            if asked is not None and is_open:
-                asked.answer.set_result(None)
+            self._release_unused(number, sender)
+            if pending is not None and is_open:
+                pending.answer.set_result(None)
             return
-        place = self._book.open(known.target, is_batch, number, sender)
-        if asked is not None:
-            asked.answer.set_result(place)
+        slot = self._registry.hold(known.target, is_batch, number, sender)
+        if pending is not None:
+            pending.answer.set_result(slot)
             return
-        self._granted[number] = (place, time.monotonic())
+        self._granted[number] = (slot, time.monotonic())
         self._on_granted()
 
-    @_take.register
+    @_handle.register
     def _(self, message: slot_messages.Refused, sender: str) -> None:
-        asked = self._online.get(message.number)
-        if asked is not None and not asked.answer.done():
-            asked.answer.set_result(slot_queue.Refused(message.retry_after_s, sender))
+        pending = self._online.get(message.number)
+        if pending is not None and not pending.answer.done():
+            pending.answer.set_result(slot_queue.Refused(message.retry_after_s, sender))
 
-    @_take.register
+    @_handle.register
     def _(self, message: slot_messages.Queued, sender: str) -> None:
-        asked = self._online.get(message.number)
-        if asked is not None:
-            asked.heard_s = time.monotonic()
+        pending = self._online.get(message.number)
+        if pending is not None:
+            pending.last_seen_s = time.monotonic()
 
-    @_take.register
+    @_handle.register
     def _(self, message: slot_messages.NotCoordinating, sender: str) -> None:
-        self._roster.suspect(sender, time.monotonic(), _NOT_COORDINATING_S)
+        self._peers.suspect(sender, time.monotonic(), _NOT_COORDINATING_SUSPICION_S)
         self._batch.pop(message.number, None)
-        asked = self._online.get(message.number)
-        if asked is not None and not asked.answer.done():
-            asked.answer.set_result(None)
+        pending = self._online.get(message.number)
+        if pending is not None and not pending.answer.done():
+            pending.answer.set_result(None)
 
-    @_take.register
+    @_handle.register
     def _(self, message: slot_messages.Preempt, sender: str) -> None:
-        self._on_give_way(message.number)
+        self._on_preempted(message.number)
 
-    def _give_back(
+    def _release_answer(
         self, answer: slot_registry.Slot | slot_queue.Refused | None
     ) -> None:
-        """Free a place that came as its request ended."""
+        """Release a slot that was granted as its request was cancelled."""
         if not isinstance(answer, slot_registry.Slot):
             return
-        self._book.close(answer)
-        self._withdraw(answer.number, answer.coordinator)
+        self._registry.free(answer)
+        self._release_unused(answer.number, answer.coordinator)
 
-    def _withdraw(self, number: int, coordinator: str) -> None:
-        """Tell a coordinator that a place is not wanted."""
+    def _release_unused(self, number: int, coordinator: str) -> None:
+        """Tell a coordinator that a requested slot is not used."""
         message = slot_messages.Release(self._identity.incarnation, number)
         self._send(coordinator, message)
 
 
-def _is_for(asked: _BatchAsk, service: str) -> bool:
-    return asked.message.service == service
+def _is_for_service(pending: _PendingBatchRequest, service: str) -> bool:
+    return pending.message.service == service
 
 
 def _do_nothing() -> None:
-    """Stand in until batch work is connected."""
+    """Serve as the callback until batch work sets its own."""
 
 
 def _ignore_number(number: int) -> None:
-    """Stand in until batch work is connected."""
+    """Serve as the callback until batch work sets its own."""
--- a/src/endivevane/serving/slot_messages.py
+++ b/src/endivevane/serving/slot_messages.py
@@ -1,4 +1,4 @@
-"""What a daemon and the coordinator of its region tell each other about places."""
+"""Messages about slots between a daemon and the coordinator of its region."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acquire:
-    """A request wants a place; repeated until it is answered.
+    """Requests a slot; repeated until it is answered.
 
-    :param incarnation: run of the asking daemon's process
-    :param number: names the place among those of the daemon
+    :param incarnation: incarnation of the requesting daemon's process
+    :param number: identifies the slot among those of the daemon
     :param request: the request's id, for the log; empty for a batch item
     :param urgency: rank of a batch item among others, the lowest first
-    :param objective_left_s: time in which an answer is on time; for a batch item, time
-        until it is due
-    :param deadline_left_s: time after which the answer is of no use
-    :param may_return: whether the client comes again after a refusal
-    :param only: targets that the request may go to, ``None`` for any
+    :param objective_left_s: time within which the response is on time; for a batch
+        item, time until it is due
+    :param deadline_left_s: time after which the response is of no use
+    :param client_may_retry: whether the client retries after a refusal
+    :param allowed_targets: targets that the request may go to, ``None`` for any
     """
 
     incarnation: str
@@ -34,16 +34,16 @@
     priority: int = 0
     objective_left_s: float = 0.0
     deadline_left_s: float = 0.0
-    may_return: bool = False
+    client_may_retry: bool = False
     excluded: tuple[str, ...] = ()
     avoided: tuple[str, ...] = ()
-    only: tuple[str, ...] | None = None
+    allowed_targets: tuple[str, ...] | None = None
     request: str = ""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """A request has a place."""
+    """A slot is granted."""
 
     number: int
     target_id: str
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A request gets no place."""
+    """A slot is refused."""
 
     number: int
     retry_after_s: float
@@ -59,76 +59,76 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """A request waits for a place."""
+    """A request is queued for a slot."""
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotCoordinating:
-    """The asked daemon does not know enough to give out places."""
+    """The receiver of a request does not know enough to grant slots."""
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """A place is free again, or is not wanted any more.
+    """A slot is free again, or is no longer requested.
 
     :param hold_s: how long it was held, ``None`` if it was not used
-    :param start_s: time from the place to the first event, ``None`` without any
+    :param first_event_s: time from the grant to the first event, ``None`` without any
     """
 
     incarnation: str
     number: int
     hold_s: float | None = None
-    start_s: float | None = None
+    first_event_s: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preempt:
-    """A batch item shall leave its place to an online request."""
+    """A batch item is preempted and must release its slot."""
 
     number: int
 
 
-# Sends a message to the daemon of a name.
+# Sends a message to the daemon with a name.
 Send = abc.Callable[[str, "Message"], None]
 
 Message = Acquire | Granted | Refused | Queued | NotCoordinating | Release | Preempt
 
-_ASK = "ask"
+_ACQUIRE = "ask"
 _GRANTED = "granted"
 _REFUSED = "refused"
 _QUEUED = "queued"
 _NOT_COORDINATING = "not-coordinating"
-_ENDED = "ended"
-_GIVE_WAY = "give-way"
+_RELEASE = "ended"
+_PREEMPT = "give-way"
 
 
 @functools.singledispatch
 def encode(message: typing.Any) -> bytes:
     """Return a message as a datagram."""
-    raise TypeError(f"no message: {type(message).__name__}")
+    raise TypeError(f"not a slot message: {type(message).__name__}")
 
 
 @encode.register
 def _(message: Acquire) -> bytes:
     return orjson.dumps(
         (
-            _ASK,
+            _ACQUIRE,
             message.incarnation,
             message.number,
             message.service,
             message.availability_zone,
-            (message.is_batch, message.may_return),
+            (message.is_batch, message.client_may_retry),
             message.urgency,
             message.priority,
             round(message.objective_left_s, 4),
             round(message.deadline_left_s, 4),
             message.excluded,
             message.avoided,
-            message.only,
+            message.allowed_targets,
             message.request,
         )
     )
@@ -158,24 +158,25 @@
 def _(message: Release) -> bytes:
     return orjson.dumps(
         (
-            _ENDED,
+            _RELEASE,
             message.incarnation,
             message.number,
             _round(message.hold_s),
-            _round(message.start_s),
+            _round(message.first_event_s),
         )
     )
 
 
 @encode.register
 def _(message: Preempt) -> bytes:
-    return orjson.dumps((_GIVE_WAY, message.number))
+    return orjson.dumps((_PREEMPT, message.number))
 
 
 def decode(kind: str, fields: abc.Sequence[typing.Any]) -> Message:
-    """Return the message of a kind.
+    """Decode a message of a kind.
 
-    :raises ValueError: when the kind is not known or a field is missing
+    :raises ValueError: when the kind is unknown or a field is malformed
+    :raises TypeError: when a field is missing
     """
     decoder = _DECODERS.get(kind)
     if decoder is None:
@@ -183,7 +184,7 @@
     return decoder(*fields)
 
 
-def _decode_ask(
+def _decode_acquire(
     incarnation: typing.Any,
     number: typing.Any,
     service: typing.Any,
@@ -195,10 +196,10 @@
     deadline_left_s: typing.Any,
     excluded: typing.Any,
     avoided: typing.Any,
-    only: typing.Any,
+    allowed_targets: typing.Any,
     request: typing.Any,
 ) -> Acquire:
-    is_batch, may_return = flags
+    is_batch, client_may_retry = flags
     return Acquire(
         incarnation=str(incarnation),
         number=int(number),
@@ -209,10 +210,12 @@
         priority=int(priority),
         objective_left_s=float(objective_left_s),
         deadline_left_s=float(deadline_left_s),
-        may_return=bool(may_return),
+        client_may_retry=bool(client_may_retry),
         excluded=_list_names(excluded),
         avoided=_list_names(avoided),
-        only=None if only is None else _list_names(only),
+        allowed_targets=None
+        if allowed_targets is None
+        else _list_names(allowed_targets),
         request=str(request),
     )
 
@@ -225,28 +228,28 @@
     return Refused(int(number), float(retry_after_s))
 
 
-def _decode_ended(
+def _decode_release(
     incarnation: typing.Any,
     number: typing.Any,
     hold_s: typing.Any,
-    start_s: typing.Any,
+    first_event_s: typing.Any,
 ) -> Release:
     return Release(
         str(incarnation),
         int(number),
         None if hold_s is None else float(hold_s),
-        None if start_s is None else float(start_s),
+        None if first_event_s is None else float(first_event_s),
     )
 
 
 _DECODERS: dict[str, abc.Callable[..., Message]] = {
-    _ASK: _decode_ask,
+    _ACQUIRE: _decode_acquire,
     _GRANTED: _decode_granted,
     _REFUSED: _decode_refused,
     _QUEUED: lambda number: Queued(int(number)),
     _NOT_COORDINATING: lambda number: NotCoordinating(int(number)),
-    _ENDED: _decode_ended,
-    _GIVE_WAY: lambda number: Preempt(int(number)),
+    _RELEASE: _decode_release,
+    _PREEMPT: lambda number: Preempt(int(number)),
 }
 
 
--- a/src/endivevane/serving/slot_queue.py
+++ b/src/endivevane/serving/slot_queue.py
@@ -1,7 +1,7 @@
-"""The order in which requests get places on targets, and who is refused.
+"""The order in which requests are granted slots, and which requests are refused.
 
-The queue is plain code on data with a clock passed in. A daemon runs it for its own
-requests, and the coordinator of a region runs it for those of all daemons there.
+The queue does no I/O, and the time is passed in. A daemon runs it for its own requests,
+and the coordinator of a region runs it for those of all daemons there.
 """
 
 from __future__ import annotations
@@ -14,31 +14,32 @@
 
 from endivevane.serving import load_table, model, target_selection
 
-# Time that a request needs at a target at least; one with less left is refused.
-_SHORTEST_RUN_S = 0.1
-# Mean time from a place to the first event, until some have been seen.
-_FIRST_START_S = 0.1
-_START_WEIGHT = 0.1
-# A request that needs this many times the usual time to its first event is late.
-_START_MARGIN = 1.3
-_SHORTEST_RETRY_S = 0.1
-_LONGEST_RETRY_S = 1.5
-# Requests with limits of their own that find no place in one look, after which the
-# others of their service are left for the next one.
-_MOST_MISSES = 3
+# Least time that a request needs at a target; one with less left is refused.
+_MIN_RUN_S = 0.1
+# Mean time from the grant to the first event, until some have been observed.
+_INITIAL_FIRST_EVENT_S = 0.1
+_FIRST_EVENT_WEIGHT = 0.1
+# A request counts as late if it misses its objective when its first event takes this
+# many times the mean time.
+_FIRST_EVENT_MARGIN = 1.3
+_MIN_RETRY_S = 0.1
+_MAX_RETRY_S = 1.5
+# Restricted requests of a service that find no slot in one pass, after which the others
+# of that service are left for the next pass.
+_MAX_MISSES = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """What a request needs.
+    """What an online request requires of a slot.
 
-    :param objective_s: monotonic time until which the answer is on time
-    :param deadline_s: monotonic time after which the answer is of no use
-    :param may_retry: whether the client comes again after a refusal
+    :param objective_s: monotonic time until which the response is on time
+    :param deadline_s: monotonic time after which the response is of no use
+    :param may_retry: whether the client retries after a refusal
     :param excluded: targets that it must not go to
     :param allowed: targets that it may go to, ``None`` for any
-    :param avoided: targets that its daemon has seen fail a moment ago
-    :param availability_zone: where its daemon stands, empty for this daemon's own
+    :param avoided: targets that its daemon has recently seen fail
+    :param availability_zone: zone of its daemon, empty for this daemon's
     :param request: the request's id, for the log
     """
 
@@ -54,225 +55,251 @@
     request: str = ""
 
     @property
-    def is_limited(self) -> bool:
-        """Whether it may find no place where another request finds one."""
+    def is_restricted(self) -> bool:
+        """Whether it may find no slot on targets where another request finds one."""
         return bool(self.excluded or self.avoided) or self.allowed is not None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """A request gets a place."""
+    """A slot is granted."""
 
     target: model.Target
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """A request gets no place.
+    """A slot is refused.
 
-    :param retry_after_s: when its client finds room best
-    :param coordinator: daemon that decided so, empty if this one did
+    :param retry_after_s: time after which the client is best served on a retry
+    :param coordinator: daemon that decided, empty if this one did
     """
 
     retry_after_s: float
     coordinator: str = ""
 
 
-Verdict = Granted | Refused
-Settle = abc.Callable[[Verdict], None]
+Decision = Granted | Refused
+ResolveCallback = abc.Callable[[Decision], None]
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Waiter:
-    """A request that waits for a place.
+    """A request that waits for a slot.
 
-    :param settle: called once with the verdict; it counts the place
+    :param resolve: called once with the decision; records a granted slot as held
     """
 
-    wish: SlotRequest
+    slot_request: SlotRequest
     number: int
-    settle: Settle
-    is_settled: bool = False
+    resolve: ResolveCallback
+    is_resolved: bool = False
 
-    def order(self, now_s: float, start_s: float) -> tuple[bool, int, float, int]:
-        """Return the place in the queue: what can be on time, the urgent, the old.
+    def sort_key(
+        self, now_s: float, first_event_s: float
+    ) -> tuple[bool, int, float, int]:
+        """Return the sort key: timely before late, then by priority, objective, age.
 
-        :param start_s: time from a place to the first event
+        :param first_event_s: time from the grant to the first event
         """
-        is_late = now_s + start_s > self.wish.objective_s
-        return (is_late, self.wish.priority, self.wish.objective_s, self.number)
+        is_late = now_s + first_event_s > self.slot_request.objective_s
+        return (
+            is_late,
+            self.slot_request.priority,
+            self.slot_request.objective_s,
+            self.number,
+        )
 
 
 class SlotQueue:
-    """Gives places to requests in order, and keeps those waiting that find none."""
+    """Grants slots to requests in order and queues those that find none."""
 
     def __init__(
         self,
-        choices: target_selection.TargetSelector,
-        board: load_table.LoadTable,
+        selector: target_selection.TargetSelector,
+        loads: load_table.LoadTable,
         generator: random.Random,
     ) -> None:
-        self._choices = choices
-        self._board = board
+        self._selector = selector
+        self._loads = loads
         self._generator = generator
         self._waiters: list[Waiter] = []
-        self._start_s: dict[str, float] = {}
-        self._tickets = itertools.count()
+        self._mean_first_event_s: dict[str, float] = {}
+        self._sequence = itertools.count()
 
     @property
     def waiting(self) -> int:
-        """Number of requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiters)
 
-    def ask(self, wish: SlotRequest, settle: Settle, now_s: float) -> Waiter | None:
-        """Settle a request at once, or keep it waiting.
+    def ask(
+        self, slot_request: SlotRequest, resolve: ResolveCallback, now_s: float
+    ) -> Waiter | None:
+        """Resolve a request at once, or queue it.
 
-        :returns: ``None`` when it was settled
+        :returns: ``None`` when it was resolved
         """
-        verdict = self._decide(wish, now_s)
-        if verdict is not None:
-            settle(verdict)
+        decision = self._decide(slot_request, now_s)
+        if decision is not None:
+            resolve(decision)
             return None
-        waiter = Waiter(wish, next(self._tickets), settle)
+        waiter = Waiter(slot_request, next(self._sequence), resolve)
         self._waiters.append(waiter)
-        self._count_waiting(now_s)
+        self._publish_waiting(now_s)
         return waiter
 
-    def withdraw(self, waiter: Waiter, now_s: float) -> None:
-        """Forget a request that waits no longer."""
-        waiter.is_settled = True
+    def cancel(self, waiter: Waiter, now_s: float) -> None:
+        """Remove a request that no longer waits."""
+        waiter.is_resolved = True
         if waiter in self._waiters:
             self._waiters.remove(waiter)
-            self._count_waiting(now_s)
+            self._publish_waiting(now_s)
 
-    def pump(self, now_s: float) -> None:
-        """Give free places to those who wait, and give up on the hopeless."""
+    def grant_free_slots(self, now_s: float) -> None:
+        """Grant free slots to waiting requests, and refuse those out of time."""
         if not self._waiters:
             return
         misses: collections.Counter[str] = collections.Counter()
         for waiter in self._list_ordered(now_s):
-            if waiter.is_settled:
+            if waiter.is_resolved:
                 continue
-            wish = waiter.wish
-            if wish.deadline_s - now_s < _SHORTEST_RUN_S:
-                self._settle(waiter, self._refuse(wish.service))
+            slot_request = waiter.slot_request
+            if slot_request.deadline_s - now_s < _MIN_RUN_S:
+                self._resolve(waiter, self._refuse(slot_request.service))
                 continue
-            if misses[wish.service] >= _MOST_MISSES:
+            if misses[slot_request.service] >= _MAX_MISSES:
                 continue
-            target = self._choose(wish, now_s)
+            target = self._choose(slot_request, now_s)
             if target is None:
-                misses[wish.service] += 1 if wish.is_limited else _MOST_MISSES
+                misses[slot_request.service] += (
+                    1 if slot_request.is_restricted else _MAX_MISSES
+                )
                 continue
-            self._settle(waiter, Granted(target))
-        self._waiters = [item for item in self._waiters if not item.is_settled]
-        self._count_waiting(now_s)
+            self._resolve(waiter, Granted(target))
+        self._waiters = [item for item in self._waiters if not item.is_resolved]
+        self._publish_waiting(now_s)
 
     def record_hold(self, service: str, hold_s: float) -> None:
-        """Note how long a request held its place."""
-        self._choices.record_hold(service, hold_s)
-
-    def record_first_event(self, service: str, start_s: float) -> None:
-        """Note the time from a place to the first event."""
-        mean_s = self._start_s.get(service, _FIRST_START_S)
-        self._start_s[service] = mean_s + _START_WEIGHT * (start_s - mean_s)
+        """Record how long a request held its slot."""
+        self._selector.record_hold(service, hold_s)
+
+    def record_first_event(self, service: str, first_event_s: float) -> None:
+        """Record the time from the grant to the first event."""
+        mean_s = self._mean_first_event_s.get(service, _INITIAL_FIRST_EVENT_S)
+        self._mean_first_event_s[service] = mean_s + _FIRST_EVENT_WEIGHT * (
+            first_event_s - mean_s
+        )
 
     def get_mean_first_event_s(self, service: str) -> float:
-        """Return the mean time from a place to the first event."""
-        return self._start_s.get(service, _FIRST_START_S)
+        """Return the mean time from the grant to the first event."""
+        return self._mean_first_event_s.get(service, _INITIAL_FIRST_EVENT_S)
 
     def estimate_wait_s(self, service: str) -> float:
-        """Return how long one more request that can be on time waits for a place."""
-        slots = self._choices.count_slots(service)
+        """Estimate how long one more request that can be on time waits for a slot."""
+        slots = self._selector.count_slots(service)
         if not slots:
-            return _LONGEST_RETRY_S
-        ahead = self._board.count_waiting_requests(service)
-        return (ahead + 1) * self._choices.find_hold_s(service) / slots
+            return _MAX_RETRY_S
+        ahead = self._loads.count_waiting_requests(service)
+        return (ahead + 1) * self._selector.get_mean_hold_s(service) / slots
 
     def retry_after_s(self, service: str) -> float:
-        """Return when a refused client finds room best, spread over a while."""
+        """Return when a refused client should retry, with jitter."""
         wait_s = self.estimate_wait_s(service)
-        wait_s = min(_LONGEST_RETRY_S, max(_SHORTEST_RETRY_S, wait_s))
+        wait_s = min(_MAX_RETRY_S, max(_MIN_RETRY_S, wait_s))
         return wait_s * (0.75 + 0.5 * self._generator.random())
 
     def describe_load(self, service: str) -> dict[str, object]:
-        """Return what a refusal for lack of a place was decided on, for the log."""
+        """Return the load figures behind a refusal, for the log."""
         return {
-            "slots": self._choices.count_slots(service),
-            "running": self._choices.count_running(service),
-            "waiting": self._board.count_waiting_requests(service),
+            "slots": self._selector.count_slots(service),
+            "running": self._selector.count_running(service),
+            "waiting": self._loads.count_waiting_requests(service),
             "wait_ms": int(self.estimate_wait_s(service) * 1000),
-            "load_age_ms": int(self._board.same_region_age_s * 1000),
+            "load_age_ms": int(self._loads.same_region_age_s * 1000),
         }
 
-    def _decide(self, wish: SlotRequest, now_s: float) -> Verdict | None:
-        """Return the verdict on a new request, ``None`` if it has to wait."""
-        if wish.deadline_s - now_s < _SHORTEST_RUN_S:
-            return self._refuse(wish.service)
-        if not self._has_rivals(wish, now_s):
-            target = self._choose(wish, now_s)
+    def _decide(self, slot_request: SlotRequest, now_s: float) -> Decision | None:
+        """Decide on a new request; ``None`` if it has to wait."""
+        if slot_request.deadline_s - now_s < _MIN_RUN_S:
+            return self._refuse(slot_request.service)
+        if not self._has_waiters_ahead(slot_request, now_s):
+            target = self._choose(slot_request, now_s)
             if target is not None:
                 return Granted(target)
-        if not self._choices.has_targets(wish.service, now_s):
-            return self._refuse(wish.service)
-        if self._should_refuse(wish, now_s):
-            return self._refuse(wish.service)
+        if not self._selector.has_targets(slot_request.service, now_s):
+            return self._refuse(slot_request.service)
+        if self._should_refuse(slot_request, now_s):
+            return self._refuse(slot_request.service)
         return None
 
-    def _settle(self, waiter: Waiter, verdict: Verdict) -> None:
-        waiter.is_settled = True
-        waiter.settle(verdict)
+    def _resolve(self, waiter: Waiter, decision: Decision) -> None:
+        waiter.is_resolved = True
+        waiter.resolve(decision)
 
     def _refuse(self, service: str) -> Refused:
         return Refused(self.retry_after_s(service))
 
     def _list_ordered(self, now_s: float) -> list[Waiter]:
-        """Return those who wait, in the order in which they get places."""
+        """Return the waiting requests in the order in which they are granted slots."""
         return sorted(
             self._waiters,
-            key=lambda item: item.order(now_s, self._find_start_s(item.wish.service)),
+            key=lambda item: item.sort_key(
+                now_s, self._estimate_first_event_s(item.slot_request.service)
+            ),
         )
 
-    def _count_waiting(self, now_s: float) -> None:
-        """Tell the others of the requests that wait here and can be on time."""
-        self._board.set_waiting_requests(
+    def _publish_waiting(self, now_s: float) -> None:
+        """Publish the number of waiting requests that can still be on time."""
+        self._loads.set_waiting_requests(
             collections.Counter(
-                item.wish.service
+                item.slot_request.service
                 for item in self._waiters
-                if not item.order(now_s, self._find_start_s(item.wish.service))[0]
+                if not item.sort_key(
+                    now_s, self._estimate_first_event_s(item.slot_request.service)
+                )[0]
             )
         )
 
-    def _has_rivals(self, wish: SlotRequest, now_s: float) -> bool:
-        """Whether others of the service wait that go before this request."""
-        start_s = self._find_start_s(wish.service)
-        mine = (now_s + start_s > wish.objective_s, wish.priority)
+    def _has_waiters_ahead(self, slot_request: SlotRequest, now_s: float) -> bool:
+        """Whether unrestricted requests of the service wait ahead of this one."""
+        first_event_s = self._estimate_first_event_s(slot_request.service)
+        own_key = (
+            now_s + first_event_s > slot_request.objective_s,
+            slot_request.priority,
+        )
         for waiter in self._waiters:
-            if waiter.wish.service != wish.service or waiter.wish.is_limited:
+            if (
+                waiter.slot_request.service != slot_request.service
+                or waiter.slot_request.is_restricted
+            ):
                 continue
-            if waiter.order(now_s, start_s)[:2] <= mine:
+            if waiter.sort_key(now_s, first_event_s)[:2] <= own_key:
                 return True
         return False
 
-    def _should_refuse(self, wish: SlotRequest, now_s: float) -> bool:
-        """Whether a request is better off elsewhere in time than in the queue.
+    def _should_refuse(self, slot_request: SlotRequest, now_s: float) -> bool:
+        """Whether to refuse a request rather than queue it.
 
-        What would be late and comes again is asked to return when there is room; what
-        can't be served at all is told so at once.
+        A request that would be late but whose client retries is refused, to return when
+        there is room; one that can't be served at all is refused at once.
         """
-        served_s = now_s + self.estimate_wait_s(wish.service)
-        if served_s + _SHORTEST_RUN_S > wish.deadline_s:
+        served_s = now_s + self.estimate_wait_s(slot_request.service)
+        if served_s + _MIN_RUN_S > slot_request.deadline_s:
             return True
-        start_s = self._find_start_s(wish.service)
-        return wish.may_retry and served_s + start_s > wish.objective_s
+        first_event_s = self._estimate_first_event_s(slot_request.service)
+        return (
+            slot_request.may_retry
+            and served_s + first_event_s > slot_request.objective_s
+        )
 
-    def _find_start_s(self, service: str) -> float:
-        return _START_MARGIN * self.get_mean_first_event_s(service)
+    def _estimate_first_event_s(self, service: str) -> float:
+        return _FIRST_EVENT_MARGIN * self.get_mean_first_event_s(service)
 
-    def _choose(self, wish: SlotRequest, now_s: float) -> model.Target | None:
-        return self._choices.choose_online(
-            wish.service,
+    def _choose(self, slot_request: SlotRequest, now_s: float) -> model.Target | None:
+        return self._selector.choose_online(
+            slot_request.service,
             now_s,
-            wish.excluded | wish.avoided,
-            wish.allowed,
-            wish.availability_zone,
+            slot_request.excluded | slot_request.avoided,
+            slot_request.allowed,
+            slot_request.availability_zone,
         )
--- a/src/endivevane/serving/slot_registry.py
+++ b/src/endivevane/serving/slot_registry.py
@@ -1,4 +1,4 @@
-"""The places on targets that requests of this daemon hold."""
+"""The slots on targets that this daemon's requests hold."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slot:
-    """A place on a target, held by one request.
+    """A slot on a target, held by one request.
 
-    :param number: names it among all places of this daemon
-    :param coordinator: daemon that gave it, empty if this one did
+    :param number: identifies the slot among all slots of this daemon
+    :param coordinator: daemon that granted it, empty if this one did
     """
 
     target: model.Target
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldSlot:
-    """What other daemons are told of a place."""
+    """A held slot, as reported to other daemons."""
 
     number: int
     target_id: str
@@ -32,49 +32,49 @@
 
 
 class SlotRegistry:
-    """Numbers the places of this daemon and counts them on its load board."""
+    """Numbers the slots of this daemon and counts them in its load table."""
 
-    def __init__(self, board: load_table.LoadTable) -> None:
-        self._board = board
+    def __init__(self, loads: load_table.LoadTable) -> None:
+        self._loads = loads
         self._numbers = itertools.count(1)
         self._held: dict[int, Slot] = {}
 
-    def make_number(self) -> int:
-        """Return a number that no place has had."""
+    def allocate_number(self) -> int:
+        """Return a number that no slot has had."""
         return next(self._numbers)
 
-    def open(
+    def hold(
         self,
         target: model.Target,
         is_batch: bool,
         number: int | None = None,
         coordinator: str = "",
     ) -> Slot:
-        """Hold a place from now on.
+        """Record a slot as held and return it.
 
-        :param number: the number under which it was asked for, ``None`` for a new one
-        :param coordinator: daemon that gave it, empty if this one did
+        :param number: the number under which it was requested, ``None`` for a new one
+        :param coordinator: daemon that granted it, empty if this one did
         """
         if number is None:
-            number = self.make_number()
-        place = Slot(target, number, is_batch, coordinator)
-        self._held[number] = place
-        self._board.begin(target.target_id, is_batch)
-        return place
-
-    def close(self, place: Slot) -> None:
-        """Hold a place no longer; a second time changes nothing."""
-        if self._held.pop(place.number, None) is None:
+            number = self.allocate_number()
+        slot = Slot(target, number, is_batch, coordinator)
+        self._held[number] = slot
+        self._loads.begin(target.target_id, is_batch)
+        return slot
+
+    def free(self, slot: Slot) -> None:
+        """Free a slot; freeing it again has no effect."""
+        if self._held.pop(slot.number, None) is None:
             return
-        self._board.end(place.target.target_id, place.is_batch)
+        self._loads.end(slot.target.target_id, slot.is_batch)
 
     def is_held(self, number: int) -> bool:
-        """Whether a place is held."""
+        """Whether the slot with this number is held."""
         return number in self._held
 
     def list_held(self) -> tuple[HeldSlot, ...]:
-        """Return all places that are held."""
+        """Return all held slots."""
         return tuple(
-            HeldSlot(place.number, place.target.target_id, place.is_batch)
-            for place in self._held.values()
+            HeldSlot(slot.number, slot.target.target_id, slot.is_batch)
+            for slot in self._held.values()
         )
--- a/src/endivevane/serving/target_selection.py
+++ b/src/endivevane/serving/target_selection.py
@@ -1,4 +1,4 @@
-"""Choosing a target for a request."""
+"""Choosing the target of a request by load, health and distance."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
     water_filling,
 )
 
-# Requests beyond its slots that a target may have waiting, so that a slot that
-# becomes free is taken before the daemons have heard of it.
+# Requests that may queue at a target beyond its slots, so that a slot that becomes free
+# is reused before the daemons learn of it.
 _QUEUE_AHEAD = 1
-# Slots of a target that batch leaves to online requests which are on their way.
+# Slots of a target that batch leaves free for online requests in flight to it.
 _BATCH_RESERVE = 2
-# Slots of a target that stay free of batch above the online peak of the last seconds.
+# Slots of a target that batch leaves free on top of the recent online peak.
 _PEAK_RESERVE = 1
-# Places of a target that batch items which would miss their due time may keep beside
-# online requests.
-URGENT_PLACES = 2
-# Requests on a target above its slots less this make batch give way.
-_YIELD_RESERVE = 0
-# What distance adds to the share of slots in use, when targets are compared.
+# Slots of a target that urgent batch items, which would otherwise miss their due time,
+# may hold even when online requests need them.
+URGENT_SLOTS = 2
+# Batch is preempted when a target has more requests than its slots less this.
+_PREEMPTION_RESERVE = 0
+# What distance adds to a target's cost, which is its share of slots in use.
 _OTHER_ZONE_COST = 0.06
-_FAR_COST = 0.15
-# What each second of age of the loads in another region adds: the older they are, the
-# more has been placed there meanwhile.
-_FAR_COST_PER_S = 1.4
-# What failed answers add, as above, for each unit of their share.
-_FAILED_COST = 2.0
-# While more than this share of a service's targets fails, none of them is ejected: the
-# cause then lies elsewhere, or there is nothing better.
-_MOST_EJECTED_SHARE = 0.5
-# Slots of a target in another region that are left to the daemons there, for each
-# second of that age.
-_FAR_RESERVE_PER_S = 5.0
-# Mean time that a request holds a place, until this daemon has seen some end.
-_FIRST_HOLD_S = 0.8
+_CROSS_REGION_COST = 0.15
+# What each second of age of another region's loads adds: the older they are, the more
+# requests have been placed there meanwhile.
+_CROSS_REGION_COST_PER_S = 1.4
+# What failed responses add to the cost, per unit of the failure rate.
+_FAILURE_RATE_COST = 2.0
+# While more than this share of a service's targets fails, none is ejected: the cause
+# then lies elsewhere, or there is no better target.
+_MAX_EJECTED_SHARE = 0.5
+# Slots of a target in another region that are left to the daemons there, per second of
+# age of that region's loads.
+_CROSS_REGION_RESERVE_PER_S = 5.0
+# Mean time for which a request holds a slot, until this daemon has seen requests end.
+_INITIAL_HOLD_S = 0.8
 _HOLD_WEIGHT = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Location:
-    """Where a daemon stands.
+    """The location of a daemon.
 
     :param regions: region of each availability zone
     """
@@ -59,29 +59,29 @@
 
 
 class TargetSelector:
-    """Compares the targets of a service by load, health and distance."""
+    """Chooses among the targets of a service by load, health and distance."""
 
     def __init__(
         self,
         location: Location,
         targets: target_registry.TargetRegistry,
-        board: load_table.LoadTable,
+        loads: load_table.LoadTable,
         generator: random.Random,
     ) -> None:
         self._location = location
         self._targets = targets
-        self._board = board
+        self._loads = loads
         self._generator = generator
         self._hold_s: dict[str, float] = {}
         self._peaks: dict[str, load_peaks.PeakWindow] = {}
 
     def record_peaks(self, now_s: float) -> None:
-        """Take in the online load of each service, as a share of its slots."""
+        """Record the online load of each service, as a share of its slots."""
         online: dict[str, int] = {}
         slots: dict[str, int] = {}
         for known in self._targets.list_all():
             target = known.target
-            load = self._board.total(target.target_id)
+            load = self._loads.total(target.target_id)
             online[target.service] = online.get(target.service, 0) + load.online
             slots[target.service] = slots.get(target.service, 0) + target.slots
         for service, count in online.items():
@@ -93,48 +93,49 @@
         service: str,
         now_s: float,
         excluded: abc.Set[str] = frozenset(),
-        only: abc.Set[str] | None = None,
+        allowed: abc.Set[str] | None = None,
         zone: str = "",
     ) -> model.Target | None:
         """Return the target for an online request, ``None`` if none has room.
 
         :param excluded: targets that the request must not go to
-        :param only: the targets that the request may go to, ``None`` for any
-        :param zone: availability zone of the request's daemon, empty for the own one
+        :param allowed: the targets that the request may go to, ``None`` for any
+        :param zone: availability zone of the request's daemon, empty for this daemon's
         """
         candidates: list[water_filling.Candidate] = []
         usable = self._targets.list_usable(service)
         ejected = self._find_ejected(usable, now_s)
-        has_near = any(
-            not self._is_far(known.target) and _may_get_work(known.health, now_s)
+        has_local = any(
+            not self._is_cross_region(known.target)
+            and _is_available(known.health, now_s)
             for known in usable
         )
         for known in usable:
             target = known.target
             if target.target_id in excluded:
                 continue
-            if only is None and target.target_id in ejected:
+            if allowed is None and target.target_id in ejected:
                 continue
-            if only is not None and target.target_id not in only:
+            if allowed is not None and target.target_id not in allowed:
                 continue
-            if not _may_get_work(known.health, now_s):
+            if not _is_available(known.health, now_s):
                 continue
-            total = self._board.total(target.target_id).total
-            if total >= self._find_limit(target, has_near):
+            total = self._loads.total(target.target_id).total
+            if total >= self._find_limit(target, has_local):
                 continue
             cost = self._cost(target, total, now_s, zone)
             candidates.append(water_filling.Candidate(target, cost))
-        unknown = self._count_unknown(service, usable)
-        return water_filling.draw(candidates, unknown, self._generator)
+        unreported = self._estimate_unreported(service, usable)
+        return water_filling.draw_target(candidates, unreported, self._generator)
 
     def record_hold(self, service: str, hold_s: float) -> None:
-        """Note how long a request held its place."""
-        mean_s = self.find_hold_s(service)
+        """Record how long a request held its slot."""
+        mean_s = self.get_mean_hold_s(service)
         self._hold_s[service] = mean_s + _HOLD_WEIGHT * (hold_s - mean_s)
 
-    def find_hold_s(self, service: str) -> float:
-        """Return the mean time for which a request holds its place."""
-        return self._hold_s.get(service, _FIRST_HOLD_S)
+    def get_mean_hold_s(self, service: str) -> float:
+        """Return the mean time for which a request holds its slot."""
+        return self._hold_s.get(service, _INITIAL_HOLD_S)
 
     def choose_batch(
         self,
@@ -147,7 +148,7 @@
         """Return a target with room for a batch item, ``None`` if none has.
 
         :param is_urgent: whether the item misses its due time unless it runs now
-        :param zone: availability zone of the item's daemon, empty for the own one
+        :param zone: availability zone of the item's daemon, empty for this daemon's
         """
         usable = self._targets.list_usable(service)
         peak_room = self._find_peak_room(service, usable)
@@ -157,82 +158,85 @@
             target = known.target
             if target.target_id in ejected:
                 continue
-            if not _may_get_work(known.health, now_s):
+            if not _is_available(known.health, now_s):
                 continue
-            load = self._board.total(target.target_id)
+            load = self._loads.total(target.target_id)
             room = self._count_batch_room(target, load, peak_room)
             has_room = target.target_id not in excluded and room > 0
             if not has_room and not (is_urgent and _has_urgent_room(target, load)):
                 continue
             cost = self._cost(target, load.total, now_s, zone)
             candidates.append(water_filling.Candidate(target, cost))
-        # Others start items in the same moment.
-        unknown = self._board.waiting_items - self._board.own_waiting_items
-        return water_filling.draw(candidates, unknown, self._generator)
+        # Other daemons start items at the same time.
+        unreported = self._loads.waiting_items - self._loads.own_waiting_items
+        return water_filling.draw_target(candidates, unreported, self._generator)
 
     def draw_batch_share(self, service: str, now_s: float, is_urgent: bool) -> int:
-        """Return how many items this daemon may start of those that find places now.
+        """Return how many items this daemon may start in the slots free for batch.
 
-        Daemons with waiting items share the places by the number of their items; parts
-        of an item are drawn. So they do not all start items at the same free places.
+        Daemons share the free slots in proportion to their waiting items, with
+        fractions rounded randomly, so that they do not all start items in the same
+        slots.
         """
         usable = self._targets.list_usable(service)
         peak_room = self._find_peak_room(service, usable)
         ejected = self._find_ejected(usable, now_s)
-        places = 0
+        available = 0
         for known in usable:
             health = known.health
             if health.is_paused(now_s) or health.is_unresponsive(now_s):
                 continue
             if known.target.target_id in ejected:
                 continue
-            load = self._board.total(known.target.target_id)
+            load = self._loads.total(known.target.target_id)
             free = self._count_batch_room(known.target, load, peak_room)
             if is_urgent and _has_urgent_room(known.target, load):
-                free = max(free, URGENT_PLACES - load.batch)
-            places += max(0, free)
-        own = self._board.own_waiting_items
-        return self._round(places * own / max(1, own, self._board.waiting_items))
+                free = max(free, URGENT_SLOTS - load.batch)
+            available += max(0, free)
+        own = self._loads.own_waiting_items
+        return self._round_randomly(
+            available * own / max(1, own, self._loads.waiting_items)
+        )
 
     def count_to_preempt(self, target: model.Target, items: int | None = None) -> int:
-        """Return how many batch items should leave a target for online requests.
+        """Return how many batch items on a target to preempt for online requests.
 
-        The daemons with batch items there share what has to leave; parts of an item
-        are drawn, so that few items more or less than needed leave.
+        The daemons with batch items there share the preemptions, with fractions rounded
+        randomly, so that in total about as many items are preempted as needed.
 
-        :param items: items there that the caller can make leave, ``None`` for those of
+        :param items: items there that the caller can preempt, ``None`` for those of
             this daemon
         """
-        load = self._board.total(target.target_id)
-        surplus = load.total - (target.slots - _YIELD_RESERVE)
+        load = self._loads.total(target.target_id)
+        surplus = load.total - (target.slots - _PREEMPTION_RESERVE)
         if items is None:
-            own = self._board.own.get(target.target_id)
+            own = self._loads.own.get(target.target_id)
             items = own.batch if own is not None else 0
         if surplus <= 0 or not items or not load.online:
             return 0
         share = surplus * items / max(1, load.batch)
-        return min(items, self._round(share))
+        return min(items, self._round_randomly(share))
 
     def has_targets(self, service: str, now_s: float) -> bool:
-        """Whether any target of a service may get work now or after a pause."""
+        """Whether any target of a service may get work, now or after a pause."""
         return any(
             not known.health.is_unresponsive(now_s)
             for known in self._targets.list_usable(service)
         )
 
     def count_slots(self, service: str) -> int:
-        """Return the slots of all targets of a service."""
+        """Return the number of slots of all targets of a service."""
         return sum(known.target.slots for known in self._targets.list_usable(service))
 
     def count_running(self, service: str) -> int:
-        """Return the requests of all daemons on the targets of a service."""
+        """Return the number of requests of all daemons on the targets of a service."""
         return sum(
-            self._board.total(known.target.target_id).total
+            self._loads.total(known.target.target_id).total
             for known in self._targets.list_usable(service)
         )
 
-    def _round(self, share: float) -> int:
-        """Return a share as a whole number, drawn so that its mean is the share."""
+    def _round_randomly(self, share: float) -> int:
+        """Round a share up or down at random such that the mean is the share."""
         whole = int(share)
         if self._generator.random() < share - whole:
             whole += 1
@@ -241,90 +245,93 @@
     def _find_ejected(
         self, usable: abc.Sequence[target_registry.KnownTarget], now_s: float
     ) -> abc.Set[str]:
-        """Return the targets that get no work, since so many of their answers fail."""
-        outcomes = self._board.outcomes
+        """Return the targets that get no work because of their failure rate."""
+        outcomes = self._loads.outcomes
         ejected = {
             known.target.target_id
             for known in usable
             if outcomes.is_ejected(known.target.target_id, now_s)
         }
-        if len(ejected) > _MOST_EJECTED_SHARE * len(usable):
+        if len(ejected) > _MAX_EJECTED_SHARE * len(usable):
             return frozenset()
         return ejected
 
     def _find_peak_room(
         self, service: str, usable: abc.Sequence[target_registry.KnownTarget]
     ) -> float | None:
-        """Return the share of slots that online leaves free even at its peak.
+        """Return the share of slots that online requests leave free at their peak.
 
-        :returns: ``None`` when the batch items at hand do not fit into it, so that the
-            gaps between peaks have to be used too
+        :returns: ``None`` when the running and waiting batch items do not fit into it,
+            so that the gaps between peaks have to be used too
         """
         window = self._peaks.get(service)
         if window is None:
             return None
         room = max(0.0, 1.0 - window.peak())
-        places = 0
+        available = 0
         running = 0
         for known in usable:
             target = known.target
-            places += max(0, int(room * target.slots) - _PEAK_RESERVE)
-            running += self._board.total(target.target_id).batch
-        if running + self._board.waiting_items > places:
+            available += max(0, int(room * target.slots) - _PEAK_RESERVE)
+            running += self._loads.total(target.target_id).batch
+        if running + self._loads.waiting_items > available:
             return None
         return room
 
     def _count_batch_room(
         self, target: model.Target, load: load_table.Load, peak_room: float | None
     ) -> int:
-        """Return how many more items fit where online requests need no room now."""
+        """Return how many more items fit on a target beside online requests."""
         free = max(1, target.slots - _BATCH_RESERVE) - load.total
         if peak_room is None:
             return free
         beside_peak = int(peak_room * target.slots) - _PEAK_RESERVE
         return min(free, beside_peak - load.batch)
 
-    def _find_limit(self, target: model.Target, has_near: bool) -> int:
-        """Return the requests from which on a target counts as full.
+    def _find_limit(self, target: model.Target, has_local: bool) -> int:
+        """Return the number of requests at which a target counts as full.
 
-        :param has_near: whether any target of this region may get work
+        :param has_local: whether any target of this region may get work
         """
         limit = target.slots + _QUEUE_AHEAD
-        if not has_near or not self._is_far(target):
+        if not has_local or not self._is_cross_region(target):
             return limit
-        reserve = int(_FAR_RESERVE_PER_S * self._board.cross_region_age_s)
+        reserve = int(_CROSS_REGION_RESERVE_PER_S * self._loads.cross_region_age_s)
         return limit - min(reserve, target.slots // 2)
 
-    def _is_far(self, target: model.Target) -> bool:
-        """Whether a target stands in another region."""
+    def _is_cross_region(self, target: model.Target) -> bool:
+        """Whether a target is in another region."""
         region = self._location.regions.get(target.availability_zone)
         return region != self._location.region
 
-    def _count_unknown(
+    def _estimate_unreported(
         self, service: str, usable: abc.Sequence[target_registry.KnownTarget]
     ) -> float:
-        """Return how many requests others have placed that are not known here yet.
+        """Estimate how many requests others have placed since their last reports.
 
-        As many come in a time as leave in it, while the load is steady.
+        While the load is steady, as many requests arrive in an interval as end in it.
         """
         online = sum(
-            self._board.total(known.target.target_id).online for known in usable
+            self._loads.total(known.target.target_id).online for known in usable
         )
-        return online * self._board.same_region_age_s / self.find_hold_s(service)
+        return online * self._loads.same_region_age_s / self.get_mean_hold_s(service)
 
     def _cost(self, target: model.Target, total: int, now_s: float, zone: str) -> float:
         cost = (total + 1) / target.slots
-        failed_share = self._board.outcomes.find_failure_rate(target.target_id, now_s)
-        cost += _FAILED_COST * failed_share
+        failure_rate = self._loads.outcomes.find_failure_rate(target.target_id, now_s)
+        cost += _FAILURE_RATE_COST * failure_rate
         if target.availability_zone != (zone or self._location.availability_zone):
             cost += _OTHER_ZONE_COST
-            if self._is_far(target):
-                cost += _FAR_COST + _FAR_COST_PER_S * self._board.cross_region_age_s
+            if self._is_cross_region(target):
+                cost += (
+                    _CROSS_REGION_COST
+                    + _CROSS_REGION_COST_PER_S * self._loads.cross_region_age_s
+                )
         return cost
 
 
-def _may_get_work(health: target_health.TargetHealth, now_s: float) -> bool:
-    """Whether this daemon has seen nothing against a target a moment ago."""
+def _is_available(health: target_health.TargetHealth, now_s: float) -> bool:
+    """Whether this daemon knows of no recent problem of a target."""
     return not (
         health.is_paused(now_s)
         or health.is_full(now_s)
@@ -333,5 +340,5 @@
 
 
 def _has_urgent_room(target: model.Target, load: load_table.Load) -> bool:
-    """Whether a target has one of the places for urgent items free."""
-    return load.batch < URGENT_PLACES and load.total < target.slots + _QUEUE_AHEAD
+    """Whether a target has one of its slots for urgent items free."""
+    return load.batch < URGENT_SLOTS and load.total < target.slots + _QUEUE_AHEAD
--- a/src/endivevane/serving/water_filling.py
+++ b/src/endivevane/serving/water_filling.py
@@ -1,9 +1,9 @@
-"""Drawing a target such that daemons with the same view fill the targets evenly.
+"""Draw a target such that daemons with the same view load the targets evenly.
 
-Daemons that all choose the least loaded target fill it together before any of them
-hears of it. So what the others have placed meanwhile is taken into account: it is
-shared out by water-filling, which raises the lowest loads to a common level, and a
-target is drawn by its share.
+Daemons that all choose the least loaded target overload it together before any of
+them learns of it. So the requests that others have placed meanwhile are estimated and
+distributed by water-filling, which raises the lowest loads to a common level; a target
+is drawn with its share of them as its weight.
 """
 
 from __future__ import annotations
@@ -19,19 +19,18 @@
 class Candidate:
     """A target that may get a request.
 
-    :param cost: its load as a share of its slots, and what else speaks against it in
-        the same unit
+    :param cost: its load as a share of its slots, plus penalties in the same unit
     """
 
     target: model.Target
     cost: float
 
 
-def weigh(candidates: abc.Sequence[Candidate], amount: float) -> list[float]:
-    """Return what each candidate gets when requests are shared out by water-filling.
+def compute_shares(candidates: abc.Sequence[Candidate], amount: float) -> list[float]:
+    """Return each candidate's share of requests distributed by water-filling.
 
-    :param candidates: by rising cost
-    :param amount: requests, more than 0
+    :param candidates: in ascending order of cost
+    :param amount: number of requests, more than 0
     """
     left = amount
     slots = 0
@@ -48,15 +47,15 @@
     return [max(0.0, (level - item.cost) * item.target.slots) for item in candidates]
 
 
-def draw(
-    candidates: abc.Iterable[Candidate], unknown: float, generator: random.Random
+def draw_target(
+    candidates: abc.Iterable[Candidate], unreported: float, generator: random.Random
 ) -> model.Target | None:
-    """Return a target, ``None`` if there is no candidate.
+    """Return a target drawn by weight, ``None`` if there is no candidate.
 
-    :param unknown: requests that others have placed and that no cost contains yet
+    :param unreported: requests placed by others that no cost includes yet
     """
     ordered = sorted(candidates, key=lambda item: item.cost)
     if not ordered:
         return None
-    weights = weigh(ordered, unknown + 1.0)
+    weights = compute_shares(ordered, unreported + 1.0)
     return generator.choices([item.target for item in ordered], weights)[0]
