--- a/features/coordinated_places.feature
+++ b/features/coordinated_places.feature
@@ -1,12 +1,12 @@
-Feature: The coordinator of a large region gives out the places of its targets
+Feature: The coordinator of a large region grants the slots of its targets
 
-  # Pattern: a pulse over many daemons, each with less than one request in flight.
-  # Guards against targets that are overfilled because no daemon knows what the others do.
-  Scenario Outline: A pulse over many daemons fills the targets evenly
+  # Pattern: a burst over many daemons, each with less than one request in flight.
+  # Guards against overloaded targets because no daemon knows what the others place.
+  Scenario Outline: A burst over many daemons fills the targets evenly
     Given a coordinator of <daemons> daemons before <targets> targets of 8 slots
-    When each daemon asks for <each> places at once
+    When each daemon requests <each> slots at once
     Then no target has more than 9 requests and the fullest one 1 more than the emptiest
-    And <granted> places are given and <rest> requests wait or are refused
+    And <granted> slots are granted and <rest> requests wait or are refused
 
     Examples:
       | daemons | targets | each | granted | rest |
@@ -14,35 +14,35 @@
       | 170     | 15      | 1    | 135     | 35   |
       | 340     | 40      | 1    | 340     | 0    |
 
-  # Pattern: a pulse that does not fit. Guards against places that go to late requests, or
-  # by the luck of the daemon that holds a request, while a timely one waits elsewhere.
+  # Pattern: a burst that does not fit. Guards against slots granted to late requests, or
+  # depending on which daemon holds a request, while a timely one waits on another daemon.
   Scenario: One queue for all daemons
     Given a coordinator of 20 daemons before 1 targets of 8 slots
-    When each daemon asks for 1 places at once
-    And a daemon asks for a request that is late, and another one for an urgent one
-    And 2 places become free
-    Then the urgent request has got one of them and the late one none
+    When each daemon requests 1 slots at once
+    And a daemon requests a slot for a late request, and another one for an urgent one
+    And 2 slots become free
+    Then the urgent request has been granted one of them and the late one none
 
-  # Guards against two places for one request when an answer of the coordinator is lost.
-  Scenario: A request whose answer was lost asks again and keeps its place
+  # Guards against two slots for one request when an answer of the coordinator is lost.
+  Scenario: A request whose answer was lost is repeated and keeps its slot
     Given a coordinator of 2 daemons before 2 targets of 8 slots
-    When a daemon asks for the same request 3 times
-    Then it has been given the same place 3 times and 1 request counts
+    When a daemon sends the same slot request 3 times
+    Then it has been granted the same slot 3 times and 1 request counts
 
-  # Pattern: the coordinator is killed in a pulse. Guards against a deputy that gives the
-  # places that are held a second time.
-  Scenario: A deputy that takes over knows what is held
+  # Pattern: the coordinator is killed during a burst. Guards against a deputy that grants
+  # held slots a second time.
+  Scenario: A deputy that takes over knows the held slots
     Given a coordinator of 30 daemons before 4 targets of 8 slots
-    When each daemon asks for 1 places at once
+    When each daemon requests 1 slots at once
     And all daemons report what they hold to a deputy
     Then the deputy counts the same requests on each target
-    And the deputy gives at most 6 more places
+    And the deputy grants at most 6 more slots
 
-  # Guards against places that stay taken for ever when the end of a request is lost, and
-  # against those that are freed because a report crossed the answer that gave them.
-  Scenario Outline: What a daemon no longer names is free after a moment
+  # Guards against slots that are never freed when the message that releases them is lost,
+  # and against those that are freed because a report crossed the message granting them.
+  Scenario Outline: A slot missing from its daemon's report is freed after a grace period
     Given a coordinator of 2 daemons before 1 targets of 8 slots
-    When a daemon gets 3 places and reports <after> s later that it holds none
+    When a daemon gets 3 slots and reports <after> s later that it holds none
     Then <count> requests count on the target
 
     Examples:
@@ -50,10 +50,10 @@
       | 0.05  | 3     |
       | 0.4   | 0     |
 
-  # Guards against places of daemons that are gone.
-  Scenario Outline: The places of a daemon that <fate> are free
+  # Guards against slots that stay held by daemons that no longer exist.
+  Scenario Outline: The slots of a daemon that <fate> are freed
     Given a coordinator of 2 daemons before 1 targets of 8 slots
-    When a daemon gets 3 places and <fate>
+    When a daemon gets 3 slots and <fate>
     Then 0 requests count on the target
 
     Examples:
@@ -61,36 +61,36 @@
       | is silent for 2 s |
       | starts again      |
 
-  # Pattern: a pulse meets targets full of batch. Guards against pulses that break off all
-  # items at once when fewer would do, and against items told to leave twice.
-  Scenario: Only as many items leave as online requests need
+  # Pattern: a burst meets targets full of batch. Guards against bursts that preempt all
+  # items at once when fewer would do, and against items that are preempted twice.
+  Scenario: Only as many items are preempted as online requests need
     Given a coordinator of 10 daemons before 1 targets of 8 slots
-    When 6 daemons run a batch item there and 4 get a place for an online request
-    Then after 0.05 s 2 items have been asked to leave
-    And after 0.1 s 2 items have been asked to leave
+    When 6 daemons run a batch item there and 4 get a slot for an online request
+    Then after 0.05 s 2 items have been preempted
+    And after 0.1 s 2 items have been preempted
 
-  # Guards against batch that takes the place for which an online request waits.
-  Scenario: Batch gets places in order of urgency and behind online requests
+  # Guards against batch items that take a slot for which an online request waits.
+  Scenario: Batch gets slots in order of urgency and after online requests
     Given a coordinator of 4 daemons before 1 targets of 8 slots
     And 9 online requests that fill it and 1 that waits
-    When a normal and an urgent batch item ask for places
-    And 5 places become free
-    Then the waiting request has got a place before the items
-    And the urgent item has got a place before the normal one
+    When a normal and an urgent batch item request slots
+    And 5 slots become free
+    Then the waiting request has been granted a slot before the items
+    And the urgent item has been granted a slot before the normal one
 
-  # Guards against an urgent item that takes the one place which an online request waits for.
-  Scenario: A place that becomes free goes to the request that waits
+  # Guards against an urgent item that takes the only slot an online request waits for.
+  Scenario: A slot that becomes free goes to the waiting online request
     Given a coordinator of 4 daemons before 1 targets of 8 slots
     And 9 online requests that fill it and 1 that waits
-    When an urgent batch item asks for a place and 1 place becomes free
-    Then the waiting request has got it and the item has not
+    When an urgent batch item requests a slot and 1 slot becomes free
+    Then the waiting request has been granted it and the item has not
 
-  # Pattern: targets go dark in a pulse. Guards against a failure that each of many daemons
-  # has to see for itself.
-  Scenario Outline: What several daemons have seen fail is avoided for all
+  # Pattern: targets stop answering during a burst. Guards against a failure that each of
+  # many daemons has to detect for itself.
+  Scenario Outline: A target that several daemons have seen fail is avoided for all
     Given a coordinator of 12 daemons before 2 targets of 8 slots
-    When <witnesses> daemons that avoid the first target ask for places
-    And 6 other daemons ask for places
+    When <witnesses> daemons that avoid the first target request slots
+    And 6 other daemons request slots
     Then the first target has <count> requests
 
     Examples:
@@ -99,9 +99,9 @@
       | 1         | 3     |
       | 2         | 0     |
 
-  # Pattern: a daemon is stopped, or its jobs end, while it asks for places. Guards against
-  # places that stay taken for items which will not come.
-  Scenario: A daemon that has no more items gives its places back
-    Given a daemon that has asked for 3 places for batch items and got 2 of them
+  # Pattern: a daemon is stopped, or its jobs end, while it requests slots. Guards against
+  # slots that stay held for items that no longer exist.
+  Scenario: A daemon that has no more items releases its slots
+    Given a daemon that has requested 3 slots for batch items and got 2 of them
     When it has no more items
-    Then it holds no place and has given up all 3
+    Then it holds no slot and has released all 3
--- a/features/region_coordinator.feature
+++ b/features/region_coordinator.feature
@@ -1,12 +1,12 @@
 Feature: The daemons of a large region find, use and replace their coordinator
 
-  # Guards against daemons that ask different coordinators, and against messages between
-  # daemons that grow with the number of daemons.
+  # Guards against daemons that use different coordinators, and against message traffic
+  # per daemon that grows with the number of daemons.
   Scenario Outline: One coordinator, at a cost that does not grow with the daemons
     Given a region of <daemons> daemons and 4 targets
     When they run for 2 s
     Then all of them have the same coordinator
-    And all of them know that the others live
+    And all of them know that the others are alive
     And every other daemon but the deputy has had at most 12 datagrams and 3000 bytes a second
 
     Examples:
@@ -14,12 +14,12 @@
       | 20      |
       | 60      |
 
-  # Pattern: the coordinator is lost in a pulse, in different ways.
+  # Pattern: the coordinator fails during a burst, in different ways.
   # Guards against requests that wait for a daemon that will not answer.
   Scenario Outline: Requests go to the deputy when the coordinator <fate>
     Given a region of 20 daemons and 4 targets
-    When the coordinator <fate> and each other daemon asks for a place
-    Then 18 places are given within 150 ms each, all by the deputy
+    When the coordinator <fate> and each other daemon requests a slot
+    Then 18 slots are granted within 150 ms each, all by the deputy
     And no target has more than 9 of them
 
     Examples:
@@ -29,42 +29,42 @@
       | hears nothing     |
       | can say nothing   |
 
-  # Guards against requests that get no place at all while no coordinator answers.
-  Scenario: Daemons place requests by their own view when nobody answers
+  # Guards against requests that get no slot at all while no coordinator answers.
+  Scenario: Daemons choose targets by their own view when no coordinator answers
     Given a region of 20 daemons and 4 targets
-    When all daemons but one are killed and it asks for a place
-    Then it gets a place within 300 ms
+    When all daemons but one are killed and it requests a slot
+    Then it gets a slot within 300 ms
 
-  # Pattern: a herd of daemons is killed. Guards against dead daemons that others take
-  # for living ones, so that their jobs are not taken over, and the other way round.
-  Scenario: All know who lives after a herd was killed
+  # Pattern: many daemons are killed at once. Guards against dead daemons that others
+  # consider alive, so that their jobs are not taken over, and the other way round.
+  Scenario: All daemons know who is alive after many were killed
     Given a region of 40 daemons and 4 targets
     When 20 daemons, the coordinator and its deputy among them, are killed
-    Then within 5 s all others know who lives and have the same coordinator
-    And none of them has taken a living daemon for dead
+    Then within 5 s all others know who is alive and have the same coordinator
+    And none of them has considered a live daemon dead
 
-  # Pattern: a hand-over between two coordinators. Guards against orders that are carried
-  # out twice while both act: a place that is held twice, or an item told to leave that
-  # another one has taken the place of.
-  Scenario: Two coordinators that both act give each request one place
+  # Pattern: a hand-over between two coordinators. Guards against messages that are acted
+  # on twice while both coordinate: a slot that is held twice, or a preempted item whose
+  # slot another item has got since.
+  Scenario: Two coordinators that both act grant each request one slot
     Given a region of 20 daemons and 4 targets
-    When the coordinator stands still for 1.5 s in a pulse and then acts as before
-    Then each request has had one place
-    And 2 s after the pulse all coordinators count no request
+    When the coordinator is paused for 1.5 s during a burst and then continues
+    Then each request has had one slot
+    And 2 s after the burst all coordinators count no request
 
-  # Guards against the news of a stop that reaches nobody, and against a stopping
-  # coordinator that goes on.
+  # Guards against an announcement of a stop that reaches nobody, and against a stopping
+  # coordinator that continues to coordinate.
   Scenario: A coordinator that stops is replaced at once
     Given a region of 20 daemons and 4 targets
-    When the coordinator says that it stops
+    When the coordinator announces that it stops
     Then within 1 s all others have another one
 
-  # Pattern: a herd of daemons starts again. Guards against notices that name each of them
+  # Pattern: many daemons restart at once. Guards against notices that list each of them
   # for ever, which would cost each daemon several kilobytes a second.
-  Scenario Outline: Only daemons that the store does not name yet are named in notices
-    Given a daemon that starts again
-    When its row comes <when> its first report
-    Then the notices name it as a stranger: <named>
+  Scenario Outline: Notices list only daemons that are not registered in the store yet
+    Given a daemon that restarts
+    When its row arrives <when> its first report
+    Then the notices list it as an unregistered peer: <named>
 
     Examples:
       | when     | named |
@@ -72,9 +72,9 @@
       | after    | no    |
       | never to | yes   |
 
-  # Guards against jobs of a daemon that starts again at once and that nobody takes over,
-  # since all others take its former run for alive (LOST on sweep-100 of the large site).
-  Scenario: A daemon that starts again at once is known by its new run
-    Given a daemon that starts again
-    When notices name nobody as silent before and after its new row
+  # Guards against jobs of a daemon that restarts at once and that nobody takes over, since
+  # all others consider its former run alive (LOST on sweep-100 of the large site).
+  Scenario: A daemon that restarts at once is known by its new run
+    Given a daemon that restarts
+    When notices list nobody as unresponsive before and after its new row
     Then its new run is alive and its former run is not
--- a/features/steps/coordinated_places_steps.py
+++ b/features/steps/coordinated_places_steps.py
@@ -14,7 +14,7 @@
 
 
 class Region:
-    """A coordinator, and what it has told each daemon."""
+    """A coordinator and the messages that it has sent to each daemon."""
 
     def __init__(self, daemons, targets):
         names = [f"t{number}" for number in range(targets)]
@@ -47,7 +47,7 @@
         return message
 
     def send(self, name, message):
-        # Each message takes the way that it takes between two daemons.
+        # Each message is encoded and decoded as it is between two daemons.
         data = slot_messages.encode(message)
         kind, *fields = serving_fakes.load(data)
         self.coordinator.handle(name, slot_messages.decode(kind, fields), self.now_s)
@@ -82,8 +82,8 @@
     context.region = Region(daemons, targets)
 
 
-@when("each daemon asks for {each:d} places at once")
-def step_pulse(context, each):
+@when("each daemon requests {each:d} slots at once")
+def step_burst(context, each):
     for name in context.region.daemons:
         for _ in range(each):
             context.region.ask(name)
@@ -99,7 +99,7 @@
     assert max(loads) - min(loads) <= 1, loads
 
 
-@then("{granted:d} places are given and {rest:d} requests wait or are refused")
+@then("{granted:d} slots are granted and {rest:d} requests wait or are refused")
 def step_granted(context, granted, rest):
     region = context.region
     assert len(region.list_granted()) == granted
@@ -108,7 +108,7 @@
     assert waiting + refused == rest, (waiting, refused)
 
 
-@when("a daemon asks for a request that is late, and another one for an urgent one")
+@when("a daemon requests a slot for a late request, and another one for an urgent one")
 def step_late_and_urgent(context):
     region = context.region
     region.fleet.board.set_waiting_requests(collections.Counter())
@@ -116,26 +116,26 @@
     context.urgent = ("d1", region.ask("d1", objective_s=0.25, priority=-1).number)
 
 
-@when("{count:d} places become free")
+@when("{count:d} slots become free")
 def step_free(context, count):
     context.region.release_slots(count)
 
 
-@then("the urgent request has got one of them and the late one none")
+@then("the urgent request has been granted one of them and the late one none")
 def step_one_queue(context):
     granted = context.region.list_granted()
     assert context.urgent in granted
     assert context.late not in granted
 
 
-@when("a daemon asks for the same request {times:d} times")
+@when("a daemon sends the same slot request {times:d} times")
 def step_repeat(context, times):
     message = context.region.ask("d0")
     for _ in range(times - 1):
         context.region.send("d0", message)
 
 
-@then("it has been given the same place {times:d} times and {count:d} request counts")
+@then("it has been granted the same slot {times:d} times and {count:d} request counts")
 def step_same(context, times, count):
     granted = [
         message
@@ -160,7 +160,7 @@
     assert context.deputy.list_loads() == context.region.list_loads()
 
 
-@then("the deputy gives at most {most:d} more places")
+@then("the deputy grants at most {most:d} more slots")
 def step_deputy_rest(context, most):
     for name in context.deputy.daemons:
         context.deputy._numbers[name] = 100
@@ -170,7 +170,7 @@
 
 
 @when(
-    "a daemon gets {count:d} places and reports {after_s:g} s later that it holds none"
+    "a daemon gets {count:d} slots and reports {after_s:g} s later that it holds none"
 )
 def step_no_longer(context, count, after_s):
     region = context.region
@@ -180,7 +180,7 @@
     region.coordinator.apply_held_slots("d0", "run", [], region.now_s)
 
 
-@when("a daemon gets {count:d} places and {fate}")
+@when("a daemon gets {count:d} slots and {fate}")
 def step_fate(context, count, fate):
     region = context.region
     for _ in range(count):
@@ -198,23 +198,23 @@
 
 
 @when(
-    "{items:d} daemons run a batch item there and {online:d} get a place for an online "
+    "{items:d} daemons run a batch item there and {online:d} get a slot for an online "
     "request"
 )
-def step_batch_pulse(context, items, online):
+def step_batch_burst(context, items, online):
     region = context.region
     for name in region.daemons[:items]:
         urgency = int(item_estimates.Urgency.NORMAL)
         region.ask(name, objective_s=15.0, is_batch=True, urgency=urgency)
     assert len(region.list_granted()) == items, region.sent_messages
     for name in region.daemons[items : items + online]:
-        # The target takes one request more than its slots.
+        # The target accepts one request beyond its slots.
         region.fleet.board.add_granted("t0", False)
         del name
 
 
-@then("after {after_s:g} s {count:d} items have been asked to leave")
-def step_leave(context, after_s, count):
+@then("after {after_s:g} s {count:d} items have been preempted")
+def step_preempted(context, after_s, count):
     region = context.region
     region.coordinator.tick(region.now_s + after_s)
     assert region.count(slot_messages.Preempt) == count, region.sent_messages
@@ -229,7 +229,7 @@
     assert len(region.list_granted()) == count
 
 
-@when("a normal and an urgent batch item ask for places")
+@when("a normal and an urgent batch item request slots")
 def step_items(context):
     region = context.region
     numbers = {
@@ -245,14 +245,14 @@
     context.urgent = ("d3", numbers[item_estimates.Urgency.URGENT])
 
 
-@then("the waiting request has got a place before the items")
+@then("the waiting request has been granted a slot before the items")
 def step_online_first(context):
     context.order = list(context.region.list_granted())
     first = context.order.index(context.waiting)
     assert first < context.order.index(context.urgent), context.order
 
 
-@then("the urgent item has got a place before the normal one")
+@then("the urgent item has been granted a slot before the normal one")
 def step_urgent_first(context):
     order = context.order
     assert context.urgent in order
@@ -260,7 +260,7 @@
         assert order.index(context.urgent) < order.index(context.normal)
 
 
-@when("an urgent batch item asks for a place and {count:d} place becomes free")
+@when("an urgent batch item requests a slot and {count:d} slot becomes free")
 def step_urgent_item(context, count):
     urgency = int(item_estimates.Urgency.URGENT)
     message = context.region.ask("d2", objective_s=5.0, is_batch=True, urgency=urgency)
@@ -268,20 +268,20 @@
     context.region.release_slots(count)
 
 
-@then("the waiting request has got it and the item has not")
+@then("the waiting request has been granted it and the item has not")
 def step_waiting_first(context):
     granted = context.region.list_granted()
     assert context.waiting in granted
     assert context.urgent not in granted
 
 
-@when("{count:d} daemons that avoid the first target ask for places")
-def step_witnesses(context, count):
+@when("{count:d} daemons that avoid the first target request slots")
+def step_avoiding_daemons(context, count):
     for number in range(count):
         context.region.ask(f"d{number}", avoided=("t0",))
 
 
-@when("{count:d} other daemons ask for places")
+@when("{count:d} other daemons request slots")
 def step_others(context, count):
     for number in range(count):
         context.region.ask(f"d{number + 6}")
@@ -292,17 +292,17 @@
 def step_first_target(context, count):
     loads = context.region.list_loads()
     if count:
-        # Witnesses' own requests are on the other target, which evens out.
+        # The daemons that avoid it have their requests on the other, which evens out.
         assert loads[0] >= count, loads
     else:
         assert loads[0] == 0, loads
 
 
 @given(
-    "a daemon that has asked for {asked:d} places for batch items and got {got:d} of "
-    "them"
+    "a daemon that has requested {requested:d} slots for batch items and got {got:d} "
+    "of them"
 )
-def step_batch_client(context, asked, got):
+def step_batch_client(context, requested, got):
     context.sent = []
     fleet = serving_fakes.Fleet(["t0"])
     members = peer_registry.PeerRegistry(
@@ -320,10 +320,10 @@
         context.registry,
         lambda name, message: context.sent.append((name, message)),
     )
-    for _ in range(asked):
+    for _ in range(requested):
         context.client.find_batch_slot("lm", item_estimates.Urgency.NORMAL, 10.0)
-    context.asks = list(context.sent)
-    for name, message in context.asks[:got]:
+    context.sent_requests = list(context.sent)
+    for name, message in context.sent_requests[:got]:
         context.client.handle(name, slot_messages.Granted(message.number, "t0"))
     assert len(context.registry.list_held()) == got
 
@@ -333,13 +333,13 @@
     context.client.refresh_batch_requests({})
 
 
-@then("it holds no place and has given up all {count:d}")
-def step_gave_up(context, count):
+@then("it holds no slot and has released all {count:d}")
+def step_released(context, count):
     assert not context.registry.list_held()
     ended = {
         message.number
         for _, message in context.sent
         if isinstance(message, slot_messages.Release)
     }
-    assert ended == {message.number for _, message in context.asks}
+    assert ended == {message.number for _, message in context.sent_requests}
     assert len(ended) == count
--- a/features/steps/region_coordinator_steps.py
+++ b/features/steps/region_coordinator_steps.py
@@ -15,7 +15,7 @@
 def _run(context, act):
     async def run():
         context.region = context.make()
-        # By then the coordinator has said who lives.
+        # By then the coordinator has sent its first membership notices.
         await context.region.start(settle_s=2.5)
         try:
             await act(context.region)
@@ -44,7 +44,7 @@
     assert len(context.coordinators) == 1, context.coordinators
 
 
-@then("all of them know that the others live")
+@then("all of them know that the others are alive")
 def step_alive(context):
     count = len(context.region.daemons)
     assert context.alive == [count - 1] * count, context.alive
@@ -71,7 +71,7 @@
 }
 
 
-@when("the coordinator {fate} and each other daemon asks for a place")
+@when("the coordinator {fate} and each other daemon requests a slot")
 def step_lost(context, fate):
     async def act(region):
         first, second = region.list_ranked()
@@ -85,22 +85,22 @@
     _run(context, act)
 
 
-@then("{count:d} places are given within {limit_ms:d} ms each")
-def step_given(context, count, limit_ms):
-    given_s = [
+@then("{count:d} slots are granted within {limit_ms:d} ms each")
+def step_granted(context, count, limit_ms):
+    granted_s = [
         took_s
         for answer, took_s in context.answers
         if isinstance(answer, slot_registry.Slot)
     ]
-    assert len(given_s) == count, context.answers
-    assert max(given_s) <= limit_ms / 1000, max(given_s)
+    assert len(granted_s) == count, context.answers
+    assert max(granted_s) <= limit_ms / 1000, max(granted_s)
 
 
-@then("{count:d} places are given within {limit_ms:d} ms each, all by the deputy")
-def step_given_by_deputy(context, count, limit_ms):
-    step_given(context, count, limit_ms)
-    givers = {answer.coordinator for answer, _ in context.answers}
-    assert givers == {context.deputy}, givers
+@then("{count:d} slots are granted within {limit_ms:d} ms each, all by the deputy")
+def step_granted_by_deputy(context, count, limit_ms):
+    step_granted(context, count, limit_ms)
+    granting = {answer.coordinator for answer, _ in context.answers}
+    assert granting == {context.deputy}, granting
 
 
 @then("no target has more than {most:d} of them")
@@ -109,7 +109,7 @@
     assert max(held.count(name) for name in set(held)) <= most, held
 
 
-@when("all daemons but one are killed and it asks for a place")
+@when("all daemons but one are killed and it requests a slot")
 def step_alone(context):
     async def act(region):
         first, second = region.list_ranked()
@@ -124,19 +124,19 @@
     _run(context, act)
 
 
-@then("it gets a place within {limit_ms:d} ms")
-def step_alone_given(context, limit_ms):
-    step_given(context, 1, limit_ms)
+@then("it gets a slot within {limit_ms:d} ms")
+def step_alone_granted(context, limit_ms):
+    step_granted(context, 1, limit_ms)
 
 
 @when("{count:d} daemons, the coordinator and its deputy among them, are killed")
-def step_herd(context, count):
+def step_many_killed(context, count):
     async def act(region):
         killed = [region.find(name) for name in region.list_ranked()]
         killed += [item for item in region.daemons if item not in killed]
         killed = killed[:count]
-        living = [item for item in region.daemons if item not in killed]
-        names = {item.identity.name for item in living}
+        alive_daemons = [item for item in region.daemons if item not in killed]
+        names = {item.identity.name for item in alive_daemons}
         for item in killed:
             item.kill()
         context.mistaken = 0
@@ -145,32 +145,30 @@
         while time.monotonic() < limit_s and not context.is_known:
             await asyncio.sleep(0.1)
             context.is_known = True
-            for item in living:
+            for item in alive_daemons:
                 alive = {peer.name for peer in item.roster.list_alive()}
                 others = names - {item.identity.name}
                 context.mistaken += len(others - alive)
                 if alive != others:
                     context.is_known = False
-        context.coordinators = {item.find_coordinator() for item in living}
-        context.views = [len(item.roster.list_alive()) for item in living]
+        context.coordinators = {item.find_coordinator() for item in alive_daemons}
+        context.views = [len(item.roster.list_alive()) for item in alive_daemons]
 
     _run(context, act)
 
 
-@then("within {limit_s:d} s all others know who lives and have the same coordinator")
-def step_herd_known(context, limit_s):
+@then("within {limit_s:d} s all others know who is alive and have the same coordinator")
+def step_alive_known(context, limit_s):
     assert context.is_known, context.views
     assert len(context.coordinators) == 1, context.coordinators
 
 
-@then("none of them has taken a living daemon for dead")
+@then("none of them has considered a live daemon dead")
 def step_none_mistaken(context):
     assert not context.mistaken, context.mistaken
 
 
-@when(
-    "the coordinator stands still for {pause_s:g} s in a pulse and then acts as before"
-)
+@when("the coordinator is paused for {pause_s:g} s during a burst and then continues")
 def step_both_act(context, pause_s):
     async def act(region):
         first = region.find(region.list_ranked()[0])
@@ -185,15 +183,15 @@
                 daemon.admission.release(answer, 0.3)
 
         context.held = []
-        pulse = [asyncio.ensure_future(serve(item)) for item in others]
+        burst = [asyncio.ensure_future(serve(item)) for item in others]
         await asyncio.sleep(0.05)
         first.pause()
-        pulse += [asyncio.ensure_future(serve(item)) for item in others]
+        burst += [asyncio.ensure_future(serve(item)) for item in others]
         await asyncio.sleep(pause_s)
         first.resume()
-        pulse += [asyncio.ensure_future(serve(item)) for item in others]
-        await asyncio.wait(pulse, timeout=4.0)
-        context.unserved = [task for task in pulse if not task.done()]
+        burst += [asyncio.ensure_future(serve(item)) for item in others]
+        await asyncio.wait(burst, timeout=4.0)
+        context.unserved = [task for task in burst if not task.done()]
         await asyncio.sleep(2.0)
         context.counted = {
             item.identity.name: sum(
@@ -205,19 +203,19 @@
     _run(context, act)
 
 
-@then("each request has had one place")
-def step_one_place(context):
+@then("each request has had one slot")
+def step_one_slot(context):
     assert not context.unserved
-    # A daemon has at most the requests of two pulses at a time.
+    # A daemon has at most the requests of two bursts at a time.
     assert max(context.held) <= 2, context.held
 
 
-@then("{after_s:d} s after the pulse all coordinators count no request")
+@then("{after_s:d} s after the burst all coordinators count no request")
 def step_counted_none(context, after_s):
     assert not any(context.counted.values()), context.counted
 
 
-@when("the coordinator says that it stops")
+@when("the coordinator announces that it stops")
 def step_stops(context):
     async def act(region):
         first = region.find(region.list_ranked()[0])
@@ -236,21 +234,21 @@
     assert context.former not in context.coordinators
 
 
-def _make_run(incarnation, heard_s=0.0):
+def _make_run(incarnation, seen_s=0.0):
     return peer_registry.Peer(
-        "d1", "near", "10.0.0.1", 1, incarnation, last_seen_s=heard_s
+        "d1", "near", "10.0.0.1", 1, incarnation, last_seen_s=seen_s
     )
 
 
-@given("a daemon that starts again")
-def step_starts_again(context):
+@given("a daemon that restarts")
+def step_restarts(context):
     identity = peer_registry.Identity("d0", "near", "run", "10.0.0.0", 1)
     context.roster = peer_registry.PeerRegistry(identity)
     context.roster.add(_make_run("first"))
     context.roster.record_heartbeat(_make_run("first", time.monotonic()))
 
 
-@when("its row comes {when} its first report")
+@when("its row arrives {when} its first report")
 def step_row(context, when):
     if when == "before":
         context.roster.add(_make_run("second"))
@@ -259,8 +257,8 @@
         context.roster.add(_make_run("second"))
 
 
-@then("the notices name it as a stranger: {named}")
-def step_stranger(context, named):
+@then("the notices list it as an unregistered peer: {named}")
+def step_unregistered(context, named):
     now_s = time.monotonic()
     state = context.roster.describe_region("near", now_s, now_s)
     assert [item.name for item in state.unregistered] == (
@@ -268,9 +266,9 @@
     )
 
 
-@when("notices name nobody as silent before and after its new row")
+@when("notices list nobody as unresponsive before and after its new row")
 def step_new_run(context):
-    # A daemon that does not coordinate hears of the other one by rows and notices only.
+    # A daemon that does not coordinate learns of the other by rows and notices only.
     identity = peer_registry.Identity("d0", "near", "run", "10.0.0.0", 1)
     context.roster = peer_registry.PeerRegistry(identity)
     state = peer_messages.RegionState("near")
--- a/features/steps/serving_decisions_steps.py
+++ b/features/steps/serving_decisions_steps.py
@@ -48,15 +48,15 @@
 
 
 @when("{low:d} run on the first of them and {high:d} on each other one")
-def step_even_play(context, low, high):
+def step_even_runs(context, low, high):
     daemons, names, age_s = context.even
     loads = {name: (high, 0) for name in names} | {names[0]: (low, 0)}
     context.fullest = []
-    for play in range(100):
+    for run_number in range(100):
         held = collections.Counter({name: count for name, (count, _) in loads.items()})
         for daemon in range(daemons):
             fleet = serving_fakes.Fleet(
-                names, seed=play * daemons + daemon, age_s=age_s
+                names, seed=run_number * daemons + daemon, age_s=age_s
             )
             fleet.report("others", loads)
             # 32 requests of 0.16 s each are 20 in the time between two reports.
@@ -66,7 +66,7 @@
         context.fullest.append(max(held.values()))
 
 
-@then("no target holds more than {most:d} of them in {least:d} of 100 plays")
+@then("no target holds more than {most:d} of them in {least:d} of 100 runs")
 def step_even_held(context, most, least):
     # Evenly, 52 requests on 6 targets are 8.7 each; 20 draws deviate by 1.7, so
     # that 14 is three of them above.
@@ -82,7 +82,7 @@
     ]
 
 
-@when("{amount:d} requests are shared out over them")
+@when("{amount:d} requests are distributed over them")
 def step_share_out(context, amount):
     context.shares = water_filling.compute_shares(context.candidates, amount)
 
@@ -104,7 +104,7 @@
     assert _choose(context) == "t0"
 
 
-@when('the fleet model plays "{name}" for {seconds:d} s')
+@when('the fleet model simulates "{name}" for {seconds:d} s')
 def step_model(context, name, seconds):
     path = pathlib.Path("bench/fleet/patterns") / f"{name}.toml"
     played = pattern.load_pattern(path)
@@ -118,7 +118,7 @@
     assert tally.late <= most / 100 * tally.served, tally
 
 
-@then("all batch items are done in time")
+@then("all batch items are completed on time")
 def step_model_items(context):
     tally = context.tally
     assert tally.items_due and tally.items_on_time == tally.items_due, tally
@@ -203,8 +203,8 @@
 
 
 @when(
-    "{owners:d} daemons with one item each share a target with {surplus:d} online "
-    "requests too many of 8 slots, {times:d} times"
+    "{owners:d} daemons with one item each share a target of 8 slots with {surplus:d} "
+    "online requests too many, {times:d} times"
 )
 def step_preempt(context, owners, surplus, times):
     online = 8 - owners + surplus
@@ -218,7 +218,10 @@
     context.mean = preempted / times / surplus
 
 
-@then("on average between {low:g} and {high:g} items give way for each one that has to")
+@then(
+    "on average between {low:g} and {high:g} items are preempted for each one that "
+    "has to be"
+)
 def step_preempt_mean(context, low, high):
     assert low <= context.mean <= high, context.mean
 
@@ -254,7 +257,7 @@
     }
 
 
-@when("places become free one after the other")
+@when("slots become free one after the other")
 def step_free(context):
     async def wait(name, slot_request):
         await context.admission.acquire(slot_request)
@@ -267,7 +270,7 @@
         ]
         await asyncio.sleep(0)
         for free in (8, 7, 6):
-            # A target takes one request more than its slots; those placed before are
+            # A target accepts one request beyond its slots; those placed before are
             # counted here already.
             context.fleet.report("peer", {"t0": (free, 0)})
             context.admission.dispatch()
@@ -290,8 +293,8 @@
     context.count = count
 
 
-@when("a request with {left_ms:d} ms left asks for a place")
-def step_hopeless(context, left_ms):
+@when("a request with {left_ms:d} ms left requests a slot")
+def step_short_deadline(context, left_ms):
     async def run():
         waiting = [
             asyncio.ensure_future(
@@ -305,7 +308,7 @@
             _make_slot_request(0, 0.3, left_ms / 1000)
         )
         context.took_s = time.monotonic() - began_s
-        context.advice_s = context.admission.queue.retry_after_s("lm")
+        context.retry_delay_s = context.admission.queue.retry_after_s("lm")
         for task in waiting:
             task.cancel()
         await asyncio.wait(waiting)
@@ -319,12 +322,12 @@
     assert context.took_s <= limit_ms / 1000, context.took_s
 
 
-@then("the advice to come back is between {low_ms:d} ms and {high_s:g} s")
-def step_advice(context, low_ms, high_s):
-    assert low_ms / 1000 <= context.advice_s <= high_s, context.advice_s
+@then("the suggested retry delay is between {low_ms:d} ms and {high_s:g} s")
+def step_retry_delay(context, low_ms, high_s):
+    assert low_ms / 1000 <= context.retry_delay_s <= high_s, context.retry_delay_s
 
 
-@when("the waiting request is cancelled as its place is granted")
+@when("the waiting request is cancelled as its slot is granted")
 def step_cancel(context):
     async def run():
         task = asyncio.ensure_future(
@@ -354,8 +357,8 @@
     context.fleet.choices.record_peaks(now_s)
 
 
-@when("{count:d} batch items want to run")
-def step_want(context, count):
+@when("{count:d} batch items are ready to run")
+def step_ready(context, count):
     context.placed = collections.Counter()
     for left in range(count, 0, -1):
         context.fleet.board.own_waiting_items = left
@@ -365,7 +368,7 @@
             context.placed[target.target_id] += 1
 
 
-@then("{count:d} of them get a place, and at most {most:d} on one target")
+@then("{count:d} of them get a slot, and at most {most:d} on one target")
 def step_placed(context, count, most):
     assert sum(context.placed.values()) == count, context.placed
     assert max(context.placed.values()) <= most, context.placed
@@ -377,7 +380,7 @@
     def __init__(self):
         self.networks = {}
         self.regions = {}
-        self.crossed = 0
+        self.cross_region = 0
 
     def make_transport(self, host):
         wire = self
@@ -385,7 +388,7 @@
         class Transport:
             def sendto(self, data, address):
                 target = address[0]
-                wire.crossed += wire.regions[host] != wire.regions[target]
+                wire.cross_region += wire.regions[host] != wire.regions[target]
                 loop = asyncio.get_running_loop()
                 network = wire.networks[target]
                 loop.call_later(0.001, network.datagram_received, data, (host, 1))
@@ -447,13 +450,13 @@
     assert counts == [load] * len(counts), counts
 
 
-@then("every daemon knows that the other {count:d} live")
+@then("every daemon knows that the other {count:d} are alive")
 def step_alive_everywhere(context, count):
     assert context.alive == [count] * len(context.daemons), context.alive
 
 
-@then("every daemon has heard that the target has failed, and of the newest version")
-def step_heard_everywhere(context):
+@then("every daemon knows that the target has failed, and the newest version")
+def step_known_everywhere(context):
     now_s = time.monotonic()
     shares = [
         board.outcomes.find_failure_rate("t0", now_s) for _, _, board in context.daemons
@@ -463,10 +466,10 @@
 
 
 @then("at most {most:d} reports crossed between the regions")
-def step_crossed(context, most):
-    # Two regions, ten reports a second each at most, and a second one to an unheard
-    # region at the start.
-    assert context.wire.crossed <= most, context.wire.crossed
+def step_cross_region(context, most):
+    # Two regions, ten reports a second each at most, and a second one at the start to a
+    # region that has not been seen yet.
+    assert context.wire.cross_region <= most, context.wire.cross_region
 
 
 @given("a full target of 8 slots and {count:d} waiting requests that are late")
@@ -476,7 +479,7 @@
     context.waiting_objective_s = -1.0
 
 
-@when("a {which} request with an objective of {objective_ms:d} ms asks for a place")
+@when("a {which} request with an objective of {objective_ms:d} ms requests a slot")
 def step_overload(context, which, objective_ms):
     waiting_s = getattr(context, "waiting_objective_s", 30)
 
@@ -495,7 +498,7 @@
         context.is_refused = bool(done) and isinstance(
             asked.result(), slot_queue.Refused
         )
-        context.advice_s = context.admission.queue.retry_after_s("lm")
+        context.retry_delay_s = context.admission.queue.retry_after_s("lm")
         for task in (*waiting, asked):
             task.cancel()
         await asyncio.wait((*waiting, asked))
@@ -511,7 +514,7 @@
 @then("it is asked to return in {low_s:g} s to {high_s:g} s")
 def step_asked_to_return(context, low_s, high_s):
     assert context.is_refused
-    assert low_s <= context.advice_s <= high_s, context.advice_s
+    assert low_s <= context.retry_delay_s <= high_s, context.retry_delay_s
 
 
 @then("an urgent batch item goes to the first target, and another one not")
--- a/features/support/region_daemons.py
+++ b/features/support/region_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons of one large region that talk over a wire in memory."""
+"""Daemons of one large region that communicate over an in-memory network."""
 
 import asyncio
 import collections
@@ -19,7 +19,7 @@
 
 
 class Wire:
-    """Carries datagrams and counts them; a daemon may be cut off in one way or both."""
+    """Carries datagrams and counts them; can block a daemon's sending or receiving."""
 
     def __init__(self):
         self.networks = {}
@@ -54,7 +54,7 @@
 
 
 class Daemon:
-    """One daemon's places: its board, its client and what it does as coordinator."""
+    """One daemon's slots: its load table, its client and its coordinator."""
 
     def __init__(self, wire, number, targets, incarnation="run"):
         self.host = f"10.0.0.{number}"
@@ -109,7 +109,7 @@
         self.task.cancel()
 
     def pause(self):
-        """Hear and say nothing, as a process that stands still."""
+        """Neither send nor receive, as a process that is suspended."""
         self.wire.blocked_senders.add(self.host)
         self.wire.blocked_receivers.add(self.host)
 
--- a/features/support/serving_fakes.py
+++ b/features/support/serving_fakes.py
@@ -1,4 +1,4 @@
-"""Doubles of the serving tasks' ports that need no network."""
+"""Fakes of the serving modules' dependencies that need no network."""
 
 import asyncio
 import json
@@ -41,7 +41,7 @@
 
 
 class Fleet:
-    """Targets, a load board and the choices of one daemon."""
+    """Targets, a load table and the target selector of one daemon."""
 
     def __init__(self, names, seed=1, zone="z1", age_s=0.03, zones=None):
         self.targets = {}
@@ -84,10 +84,10 @@
 
 
 class FakeStore:
-    """Rows in memory, with a seeded choice of faults for each transaction.
+    """Rows in memory, with faults drawn from a seed for each transaction.
 
-    ``late`` transactions are not answered and are applied before a later one, if
-    their conditions still hold then.
+    A ``late`` transaction is not answered and is applied before a later one, if its
+    conditions still hold then.
     """
 
     def __init__(self, seed=0, fault_share=0.0):
--- a/src/endivevane/serving/slot_client.py
+++ b/src/endivevane/serving/slot_client.py
@@ -298,11 +298,11 @@
             return
         pending = self._online.get(number)
         is_batch = self._batch.pop(number, None) is not None
-        is_open = pending is not None and not pending.answer.done()
+        is_pending = pending is not None and not pending.answer.done()
         known = self._targets.find(message.target_id)
-        if known is None or not (is_open or is_batch):
+        if known is None or not (is_pending or is_batch):
             self._release_unused(number, sender)
-            if pending is not None and is_open:
+            if pending is not None and is_pending:
                 pending.answer.set_result(None)
             return
         slot = self._registry.hold(known.target, is_batch, number, sender)
--- a/src/endivevane/serving/slot_queue.py
+++ b/src/endivevane/serving/slot_queue.py
@@ -56,7 +56,7 @@
 
     @property
     def is_restricted(self) -> bool:
-        """Whether it may find no slot on targets where another request finds one."""
+        """Whether it may find no slot where another request finds one."""
         return bool(self.excluded or self.avoided) or self.allowed is not None
 
 
--- a/src/endivevane/serving/target_selection.py
+++ b/src/endivevane/serving/target_selection.py
@@ -20,7 +20,7 @@
 _QUEUE_AHEAD = 1
 # Slots of a target that batch leaves free for online requests in flight to it.
 _BATCH_RESERVE = 2
-# Slots of a target that batch leaves free on top of the recent online peak.
+# Slots of a target that batch leaves free above the online peak of the last seconds.
 _PEAK_RESERVE = 1
 # Slots of a target that urgent batch items, which would otherwise miss their due time,
 # may hold even when online requests need them.
