--- a/features/support/serving_fakes.py
+++ b/features/support/serving_fakes.py
@@ -1,4 +1,4 @@
-"""Doubles of the serving tasks' ports that need no network."""
+"""Fakes of the serving modules' dependencies that need no network."""
 
 import asyncio
 import json
@@ -41,7 +41,7 @@
 
 
 class Fleet:
-    """Targets, a load board and the choices of one daemon."""
+    """Targets, a load table and the target selector of one daemon."""
 
     def __init__(self, names, seed=1, zone="z1", age_s=0.03, zones=None):
         self.targets = {}
@@ -49,10 +49,10 @@
             lambda key, _value: self.targets[key]
         )
         self.board = load_table.LoadTable()
-        place = target_selection.Location(zone, "near", {"z1": "near", "z2": "far"})
+        location = target_selection.Location(zone, "near", {"z1": "near", "z2": "far"})
         self.board.same_region_age_s = age_s
         self.choices = target_selection.TargetSelector(
-            place, self.directory, self.board, random.Random(seed)
+            location, self.directory, self.board, random.Random(seed)
         )
         for number, name in enumerate(names):
             self.add(name, zone=(zones or {}).get(name, "z1"), version=number + 1)
@@ -60,10 +60,10 @@
     def make_queue(self, seed=1):
         return slot_queue.SlotQueue(self.choices, self.board, random.Random(seed))
 
-    def make_admission(self, client=None, book=None, queue=None):
+    def make_admission(self, client=None, registry=None, queue=None):
         return admission.Admission(
             queue or self.make_queue(),
-            book or slot_registry.SlotRegistry(self.board),
+            registry or slot_registry.SlotRegistry(self.board),
             client,
         )
 
@@ -84,10 +84,10 @@
 
 
 class FakeStore:
-    """Rows in memory, with a seeded choice of faults for each transaction.
+    """Rows in memory, with faults drawn from a seed for each transaction.
 
-    ``late`` transactions are not answered and are applied before a later one, if
-    their conditions still hold then.
+    A ``late`` transaction is not answered and is applied before a later one, if its
+    conditions still hold then.
     """
 
     def __init__(self, seed=0, fault_share=0.0):
