--- a/src/endivevane/entry/__init__.py
+++ b/src/endivevane/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that serves callers on the platform."""
+"""The daemon that serves clients on the platform."""
--- a/src/endivevane/entry/health_endpoints.py
+++ b/src/endivevane/entry/health_endpoints.py
@@ -1,4 +1,4 @@
-"""What operators and the platform ask a daemon: its readiness and its metrics."""
+"""Handlers of the readiness and metrics endpoints."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_readiness(is_ready: abc.Callable[[], bool]) -> http_server.Handler:
-    """Return the handler that says whether clients may be sent here."""
+    """Return the readiness handler, which tells whether clients may be routed here."""
 
     async def answer_readiness(
         _request: model.ClientRequest, answer: responder.Responder
@@ -27,7 +27,7 @@
 async def answer_metrics(
     _request: model.ClientRequest, answer: responder.Responder
 ) -> None:
-    """Send the metrics of this process as text."""
+    """Send the metrics of this process in the Prometheus text format."""
     body = prometheus_client.generate_latest()
     content_type = prometheus_client.CONTENT_TYPE_LATEST
     answer.send(responder.Response(http.HTTPStatus.OK, body, content_type=content_type))
--- a/src/endivevane/entry/inspection.py
+++ b/src/endivevane/entry/inspection.py
@@ -1,4 +1,4 @@
-"""Reading the state of a deployment from the platform's store."""
+"""Inspection of a deployment through the platform's store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemberView:
-    """A daemon as it named itself at its last start.
+    """A daemon as it registered at its last start.
 
     :param cores: processor share of its VM
     """
@@ -31,7 +31,7 @@
 class TargetView:
     """A registered target.
 
-    :param problem: why the registration can't be used, empty if it can
+    :param problem: why the registration is invalid, empty if it is valid
     """
 
     name: str
@@ -62,7 +62,7 @@
     """A batch job.
 
     :param due_in_s: time until it is due, negative once that has passed
-    :param failed_runs: answers of failure of its unfinished items
+    :param failed_runs: failed runs of its unfinished items
     """
 
     job_id: str
@@ -76,7 +76,7 @@
 
 
 class FleetReader:
-    """Reads the rows of daemons, targets, routes and jobs; it changes nothing.
+    """Reads the rows of daemons, targets, routes and jobs; read-only.
 
     :param host: host of the store
     :param port: port of the store
@@ -88,7 +88,7 @@
         self._store = table_store.TableStore(pool, lambda: [endpoint])
 
     async def read_members(self) -> list[MemberView]:
-        """Return the daemons, also those that have ended since.
+        """Return the daemons, including those that have stopped since.
 
         :raises failures.StoreFailure: when the store does not answer
         """
@@ -109,7 +109,7 @@
         return members
 
     async def read_targets(self) -> list[TargetView]:
-        """Return the registered targets, and the registrations that are unusable.
+        """Return the registered targets, including those with invalid registrations.
 
         :raises failures.StoreFailure: when the store does not answer
         """
@@ -120,7 +120,7 @@
         """Return the configuration in force, ``None`` if there is none yet.
 
         :raises failures.StoreFailure: when the store does not answer
-        :raises exceptions.ProtocolError: when it can't be used
+        :raises exceptions.ProtocolError: when it is invalid
         """
         page = await self._store.read_rows(records.CONFIGURATION_TABLE, "")
         for row in page.rows:
@@ -129,7 +129,7 @@
         return None
 
     async def read_jobs(self) -> list[JobView]:
-        """Return the batch jobs, those that are due first before the others.
+        """Return the batch jobs, sorted by due time.
 
         :raises failures.StoreFailure: when the store does not answer
         """
@@ -151,7 +151,7 @@
 
 
 def view_route(route: model.Route) -> RouteView:
-    """Return what operators look for in a route."""
+    """Return the view of a route for operators."""
     services = ",".join(
         f"{service.name}:{service.weight:g}" for service in route.services
     )
--- a/src/endivevane/entry/main.py
+++ b/src/endivevane/entry/main.py
@@ -1,4 +1,4 @@
-"""The ``endivevane-entry`` daemon, which serves callers on the platform."""
+"""The ``endivevane-entry`` daemon, which serves clients on the platform."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """Return the parser of the daemon's arguments."""
     parser = argparse.ArgumentParser(
         prog="endivevane-entry",
-        description="Serve callers on the platform.",
+        description="Serve clients on the platform.",
         epilog="exit codes: 0 stopped as planned, 2 wrong usage, 3 invalid settings",
     )
     parser.add_argument("--version", action="version", version=endivevane.__version__)
--- a/src/endivevane/entry/membership.py
+++ b/src/endivevane/entry/membership.py
@@ -1,4 +1,4 @@
-"""The rows by which daemons find each other in the store."""
+"""Registration of daemons in the store."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Membership:
-    """Names this daemon in the store and takes in the rows of the others."""
+    """Registers this daemon in the store and applies the rows of the others."""
 
     def __init__(
         self,
         identity: peer_registry.Identity,
-        members: peer_registry.PeerRegistry,
+        registry: peer_registry.PeerRegistry,
         rows: store.Store,
     ) -> None:
         self._identity = identity
-        self._roster = members
+        self._peer_registry = registry
         self._store = rows
 
     async def join(self) -> None:
-        """Write the row of this daemon."""
+        """Write the row of this daemon; retry until the store accepts it."""
         identity = self._identity
         key = store.RowKey(
             jobs.STATE_TABLE, jobs.PARTITION, jobs.MEMBER_PREFIX + identity.name
@@ -42,21 +42,21 @@
             return
 
     def apply(self, row: store.Row) -> None:
-        """Take in the row of a daemon."""
+        """Apply the row of a daemon, or its deletion."""
         name = row.row_key.key.removeprefix(jobs.MEMBER_PREFIX)
         if row.value is None:
-            self._roster.remove(name)
+            self._peer_registry.remove(name)
             return
         try:
             peer = decode_member(name, row.value)
         except exceptions.ProtocolError as error:
             logs.error("member_row_unreadable", member=name, cause=error)
             return
-        self._roster.add(peer)
+        self._peer_registry.add(peer)
 
 
 def encode_member(identity: peer_registry.Identity) -> bytes:
-    """Return what the row of a daemon holds."""
+    """Return the value of a daemon's row."""
     return orjson.dumps(
         (
             identity.region,
@@ -69,9 +69,9 @@
 
 
 def decode_member(name: str, value: bytes) -> peer_registry.Peer:
-    """Return the daemon of a row.
+    """Return the daemon that a row describes.
 
-    :raises exceptions.ProtocolError: when the row does not describe one
+    :raises exceptions.ProtocolError: when the row is malformed
     """
     try:
         region, host, port, incarnation, weight = orjson.loads(value)
@@ -84,4 +84,6 @@
             weight=float(weight),
         )
     except (TypeError, ValueError) as error:
-        raise exceptions.ProtocolError(name, f"not a daemon: {error}") from error
+        raise exceptions.ProtocolError(
+            name, f"malformed daemon row: {error}"
+        ) from error
--- a/src/endivevane/entry/process_pause.py
+++ b/src/endivevane/entry/process_pause.py
@@ -1,4 +1,4 @@
-"""Noticing that the process has stood still."""
+"""Detection of pauses of the whole process."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from endivevane import logs
 
 _TICK_S = 0.4
-# A pause of the process beyond this makes what it knows doubtful.
-_STANDSTILL_S = 0.8
+# After a pause longer than this, what the process knows may be stale.
+_MIN_PAUSE_S = 0.8
 
 
-async def watch_process_pauses(on_standstill: abc.Callable[[], None]) -> None:
+async def watch_process_pauses(on_pause: abc.Callable[[], None]) -> None:
     """Call a function after each pause of the process, until cancelled.
 
     The boot-time clock also counts the time for which a VM was suspended.
@@ -24,7 +24,7 @@
         now_s = time.clock_gettime(time.CLOCK_BOOTTIME)
         pause_s = now_s - last_s - _TICK_S
         last_s = now_s
-        if pause_s < _STANDSTILL_S:
+        if pause_s < _MIN_PAUSE_S:
             continue
         logs.warning("process_stood_still", pause_ms=int(pause_s * 1000))
-        on_standstill()
+        on_pause()
--- a/src/endivevane/entry/settings.py
+++ b/src/endivevane/entry/settings.py
@@ -23,16 +23,16 @@
 
 
 class _Section(pydantic.BaseModel):
-    """Base of all sections: unknown keys are errors."""
+    """Base of all sections; unknown keys are errors."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
 class VmSection(_Section):
-    """Name, place and size of the VM.
+    """Name, location and size of the VM.
 
     :param core_share: share of a core that the daemon has
-    :param core_speed: speed of that core, where 1 is the usual one
+    :param core_speed: speed of that core relative to the standard one
     """
 
     name: typing.Annotated[str, pydantic.Field(min_length=1)]
@@ -44,7 +44,7 @@
 
     @property
     def processor_share(self) -> float:
-        """What the daemon has of a core of the usual speed."""
+        """Processor share of the daemon in cores of standard speed."""
         return self.core_share * self.core_speed
 
 
@@ -52,9 +52,9 @@
     """Addresses of the daemon.
 
     :param clients: where clients connect
-    :param readiness: where the platform asks whether the daemon is ready
+    :param readiness: where the platform checks readiness
     :param internal_port: for other daemons, TCP and UDP
-    :param metrics_port: where metrics are read
+    :param metrics_port: where metrics are exposed
     """
 
     clients: AddressText
@@ -70,16 +70,16 @@
 
 
 class PeersSection(_Section):
-    """How other daemons are found before the store names them.
+    """Discovery of other daemons before their rows are read from the store.
 
-    :param seeds: addresses of some daemons, which may be out of date
+    :param seeds: addresses of some daemons, which may be stale
     """
 
     seeds: tuple[AddressText, ...] = ()
 
 
 class StoppingSection(_Section):
-    """Planned stops.
+    """Graceful shutdown.
 
     :param grace_s: time from SIGTERM until the process is killed
     """
@@ -88,7 +88,7 @@
 
 
 class RetentionSection(_Section):
-    """How long batch jobs that have ended stay readable.
+    """Retention of finished batch jobs.
 
     :param job_s: time after submission
     """
@@ -97,13 +97,13 @@
 
 
 class LogSection(_Section):
-    """What is logged."""
+    """Logging."""
 
     level: typing.Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Settings(_Section):
-    """The whole file.
+    """The complete settings file.
 
     :param regions: region of each availability zone
     """
@@ -121,7 +121,7 @@
 def load_settings(path: pathlib.Path) -> Settings:
     """Read and check a settings file.
 
-    :raises exceptions.SettingsError: with every problem that was found
+    :raises exceptions.SettingsError: with every problem found
     """
     file = str(path)
     try:
--- a/src/endivevane/entry/store_endpoints.py
+++ b/src/endivevane/entry/store_endpoints.py
@@ -1,4 +1,4 @@
-"""Where calls to the store go: to the store, or through another daemon."""
+"""Endpoints of store calls: the store itself, or a relay through another daemon."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from endivevane.entry import settings
 from endivevane.serving import http_client, peer_registry
 
-# Other daemons that a store call may try besides the store.
-_RELAYS = 2
-# Daemons that are drawn to find them, as some may have failed a moment ago.
-_DRAWN_RELAYS = 6
+# Maximum number of daemons that a store call may try besides the store.
+_MAX_RELAYS = 2
+# Number of daemons sampled as relays, since some may be in back-off.
+_SAMPLED_RELAYS = 6
 
 
 class StoreEndpoints:
@@ -21,25 +21,25 @@
     def __init__(
         self,
         loaded: settings.Settings,
-        members: peer_registry.PeerRegistry,
+        registry: peer_registry.PeerRegistry,
         generator: random.Random,
     ) -> None:
         self.store = _make_endpoint(loaded)
         self._region = loaded.vm.region
-        self._roster = members
+        self._peer_registry = registry
         self._generator = generator
-        # One endpoint for each daemon, so that its failures are remembered.
+        # One endpoint per daemon, which keeps its back-off.
         self._relays: dict[str, http_client.Endpoint] = {}
 
     def apply_settings(self, loaded: settings.Settings) -> None:
-        """Follow the store to a new address."""
+        """Use the store's new address if it has changed."""
         endpoint = _make_endpoint(loaded)
         known = (self.store.host, self.store.port)
         if (endpoint.host, endpoint.port) != known:
             self.store = endpoint
 
     def list_all(self) -> list[http_client.Endpoint]:
-        """Return the store and, while it fails, daemons that may reach it first."""
+        """Return the store and relays; while the store is in back-off, relays first."""
         now_s = time.monotonic()
         chosen = self._choose_relays(now_s)
         if self.store.paused_until_s <= now_s:
@@ -47,17 +47,19 @@
         return [*chosen, self.store]
 
     def _choose_relays(self, now_s: float) -> list[http_client.Endpoint]:
-        """Return some daemons that have not failed a moment ago."""
-        # The way through another region costs its link twice.
-        everywhere = self._roster.list_alive()
-        near = [peer for peer in everywhere if peer.region == self._region]
-        alive = near or everywhere
-        drawn = self._generator.sample(alive, min(_DRAWN_RELAYS, len(alive)))
-        relays = (self._find_relay(peer) for peer in drawn)
+        """Return random alive daemons that are not in back-off."""
+        # A relay in another region would use the link between regions twice.
+        all_alive = self._peer_registry.list_alive()
+        in_region = [peer for peer in all_alive if peer.region == self._region]
+        candidates = in_region or all_alive
+        sampled = self._generator.sample(
+            candidates, min(_SAMPLED_RELAYS, len(candidates))
+        )
+        relays = (self._get_relay(peer) for peer in sampled)
         usable = [item for item in relays if item.paused_until_s <= now_s]
-        return usable[:_RELAYS]
+        return usable[:_MAX_RELAYS]
 
-    def _find_relay(self, peer: peer_registry.Peer) -> http_client.Endpoint:
+    def _get_relay(self, peer: peer_registry.Peer) -> http_client.Endpoint:
         endpoint = self._relays.get(peer.host)
         if endpoint is None:
             endpoint = http_client.Endpoint(peer.host, peer.port)
--- a/src/endivevane/entry/wiring.py
+++ b/src/endivevane/entry/wiring.py
@@ -1,4 +1,4 @@
-"""Putting the daemon's tasks together."""
+"""Assembly of the daemon from its components."""
 
 from __future__ import annotations
 
@@ -59,25 +59,26 @@
 
 # A connection between regions takes two round trips of 40 ms.
 _CONNECT_TIMEOUT_S = 0.35
-# The platform stops sending clients about this long after the first refusal.
+# The platform stops routing clients here about this long after readiness first fails.
 _LEAVE_ROTATION_S = 2.6
-# What a planned stop leaves of the grace before the process is killed.
+# A graceful shutdown ends this long before the grace period, after which the process is
+# killed.
 _GRACE_MARGIN_S = 1.2
-_STOP_LOOK_S = 0.05
+_STOP_POLL_S = 0.05
 _INTERNAL_LIMITS = model.ClientLimits(
     max_body_bytes=16 << 20, header_timeout_s=3.0, idle_timeout_s=60.0
 )
-_EXPIRY_LOOK_S = 0.5
-# A daemon that has just started, or stood still, hears what the others hold in this
-# time.
-_SETTLE_S = 0.5
-# Changes of jobs are collected for this long, so that a result does not cost a call
-# at each daemon; operators' changes and those of targets are taken in at once.
-_STATE_PAUSE_S = 0.3
+_EXPIRY_POLL_S = 0.5
+# Within this time after a start or a process pause, a daemon has the others' reports of
+# the slots that they hold.
+_WARM_UP_S = 0.5
+# Job changes are coalesced for this long, so that a result does not cost a call at each
+# daemon; changes of the configuration and of targets are applied at once.
+_STATE_COALESCE_S = 0.3
 
 
 class EntryDaemon:
-    """Owns the tasks of one daemon on the platform."""
+    """Builds the components of one daemon and runs its tasks."""
 
     def __init__(self, path: pathlib.Path, loaded: settings.Settings) -> None:
         self._settings = loaded
@@ -92,18 +93,18 @@
             weight=loaded.vm.processor_share,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._stop_asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._is_stopping = False
-        self._board = load_table.LoadTable()
+        self._load_table = load_table.LoadTable()
         self._newest = newest_version.NewestVersion()
-        self._roster = peer_registry.PeerRegistry(self._identity)
-        self._book_of_places = slot_registry.SlotRegistry(self._board)
+        self._peer_registry = peer_registry.PeerRegistry(self._identity)
+        self._slot_registry = slot_registry.SlotRegistry(self._load_table)
         self._network = peers.PeerNetwork(
             self._identity,
-            self._roster,
-            self._board,
+            self._peer_registry,
+            self._load_table,
             self._newest,
-            self._book_of_places,
+            self._slot_registry,
             self._on_report,
         )
         self._network.set_seeds(
@@ -116,10 +117,10 @@
         self._make_servers()
 
     async def run(self) -> None:
-        """Serve until a planned stop is over."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop_asked.set)
+            loop.add_signal_handler(number, self._stop_requested.set)
         watch = settings_reload.SettingsWatch(
             self._path, self._settings, self._apply_settings
         )
@@ -137,136 +138,151 @@
             self._state_feed.run(),
             self._network.run(),
             self._runner.run(),
-            self._claims.run(),
+            self._takeover.run(),
             self._sweeper.run(),
-            self._members.join(),
+            self._membership.join(),
             self._drop_expired(),
             watch.run(),
-            process_pause.watch_process_pauses(self._note_standstill),
+            process_pause.watch_process_pauses(self._on_process_pause),
         ):
             self._tasks.append(asyncio.ensure_future(job))
-        await self._stop_asked.wait()
+        await self._stop_requested.wait()
         await self._stop()
 
     def _make_store(self) -> None:
         self._endpoints = store_endpoints.StoreEndpoints(
-            self._settings, self._roster, self._generator
+            self._settings, self._peer_registry, self._generator
         )
         self._store_pool = http_client.ConnectionPool(_CONNECT_TIMEOUT_S)
         self._store = table_store.TableStore(self._store_pool, self._endpoints.list_all)
-        self._members = membership.Membership(self._identity, self._roster, self._store)
-        self._book = job_registry.JobRegistry()
+        self._membership = membership.Membership(
+            self._identity, self._peer_registry, self._store
+        )
+        self._job_registry = job_registry.JobRegistry()
         self._state_feed = follower.TableFollower(
             self._store,
             jobs.STATE_TABLE,
             jobs.PARTITION,
             self._on_state_row,
-            coalesce_s=_STATE_PAUSE_S,
-            on_loaded=self._settle_when_known,
+            coalesce_s=_STATE_COALESCE_S,
+            on_loaded=self._start_warm_up_when_loaded,
             newest=self._newest,
         )
         self._targets_feed = follower.TableFollower(
             self._store,
             records.TARGETS_TABLE,
             "",
-            lambda row: self._directory.apply(row, time.monotonic()),
-            lambda: self._directory.record_store_recovery(time.monotonic()),
-            on_loaded=self._open_when_known,
+            lambda row: self._target_registry.apply(row, time.monotonic()),
+            lambda: self._target_registry.record_store_recovery(time.monotonic()),
+            on_loaded=self._open_when_loaded,
         )
         self._configuration_feed = follower.TableFollower(
-            self._store, records.CONFIGURATION_TABLE, "", self._on_operator_row
+            self._store, records.CONFIGURATION_TABLE, "", self._on_configuration_row
         )
 
     def _make_targets(self) -> None:
         vm = self._settings.vm
-        self._directory = target_registry.TargetRegistry(records.decode_target)
+        self._target_registry = target_registry.TargetRegistry(records.decode_target)
         location = target_selection.Location(
             vm.availability_zone, vm.region, dict(self._settings.regions)
         )
-        self._choices = target_selection.TargetSelector(
+        self._target_selector = target_selection.TargetSelector(
             location,
-            self._directory,
-            self._board,
+            self._target_registry,
+            self._load_table,
             self._generator,
         )
-        queue = slot_queue.SlotQueue(self._choices, self._board, self._generator)
-        self._client = slot_client.SlotClient(
+        queue = slot_queue.SlotQueue(
+            self._target_selector, self._load_table, self._generator
+        )
+        self._slot_client = slot_client.SlotClient(
             self._identity,
             vm.availability_zone,
-            self._roster,
-            self._directory,
-            self._book_of_places,
+            self._peer_registry,
+            self._target_registry,
+            self._slot_registry,
             self._network.send_slot_message,
         )
         self._network.connect(
-            self._client,
+            self._slot_client,
             coordinator.Coordinator(
-                self._directory,
-                self._board,
+                self._target_registry,
+                self._load_table,
                 queue,
-                self._choices,
+                self._target_selector,
                 self._network.send_slot_message,
             ),
         )
-        self._places = admission.Admission(queue, self._book_of_places, self._client)
+        self._admission = admission.Admission(
+            queue, self._slot_registry, self._slot_client
+        )
         self._codec = headers.HeaderCodec()
-        self._caller = target_client.TargetClient(
+        self._target_client = target_client.TargetClient(
             http_client.ConnectionPool(_CONNECT_TIMEOUT_S),
             self._codec,
-            self._directory.record_draining,
+            self._target_registry.record_draining,
         )
-        self._directory.add_removal_callback(self._caller.forget)
+        self._target_registry.add_removal_callback(self._target_client.forget)
 
     def _make_jobs(self) -> None:
         self._changes = job_changes.JobChanges(
-            self._store, self._state_feed, self._book, self._identity.owner
+            self._store, self._state_feed, self._job_registry, self._identity.owner
         )
         self._reader = job_reader.JobReader(
-            self._book, self._changes, lambda: self._network.propagation_s
+            self._job_registry, self._changes, lambda: self._network.propagation_s
         )
         self._runner = job_runner.JobRunner(
             job_runner.RunnerDependencies(
-                targets=self._directory,
-                load_table=self._board,
-                choices=self._choices,
+                targets=self._target_registry,
+                load_table=self._load_table,
+                choices=self._target_selector,
                 slots=batch_slots.BatchSlots(
-                    self._choices, self._board, self._book_of_places, self._client
+                    self._target_selector,
+                    self._load_table,
+                    self._slot_registry,
+                    self._slot_client,
                 ),
-                caller=self._caller,
+                caller=self._target_client,
                 row_store=self._store,
                 changes=self._changes,
                 reader=self._reader,
-                routes=lambda: self._front_door.table,
+                routes=lambda: self._router.table,
                 encode_headers=self._codec.encode_item_headers,
                 generator=self._generator,
                 owner=self._identity.owner,
             )
         )
-        self._book.call_when_changed(self._runner.apply_change)
-        self._client.set_batch_callbacks(self._runner.wake, self._runner.preempt_slot)
-        self._claims = job_takeover.JobTakeover(
+        self._job_registry.call_when_changed(self._runner.apply_change)
+        self._slot_client.set_batch_callbacks(
+            self._runner.wake, self._runner.preempt_slot
+        )
+        self._takeover = job_takeover.JobTakeover(
             self._identity,
-            self._roster,
+            self._peer_registry,
             self._state_feed,
-            self._book,
+            self._job_registry,
             self._changes,
             self._runner,
         )
         self._sweeper = job_sweeper.JobSweeper(
             self._store,
-            self._book,
-            self._roster,
+            self._job_registry,
+            self._peer_registry,
             self._identity.name,
             self._settings.retention.job_s,
         )
 
     def _make_servers(self) -> None:
         online = online_service.OnlineService(
-            self._directory, self._board, self._places, self._caller, self._generator
+            self._target_registry,
+            self._load_table,
+            self._admission,
+            self._target_client,
+            self._generator,
         )
         codec = job_codec.JobCodec()
         batch = job_api.JobApi(codec, self._changes, self._reader, self._runner)
-        self._front_door = request_router.RequestRouter(online, batch, codec)
+        self._router = request_router.RequestRouter(online, batch, codec)
         relay = store_relay.StoreRelay(
             self._store_pool,
             lambda: self._endpoints.store,
@@ -275,18 +291,18 @@
                 (records.TARGETS_TABLE, self._targets_feed),
             ),
         )
-        self._clients = http_server.Server(
-            self._codec, self._front_door.handle, self._find_limits
+        self._client_server = http_server.Server(
+            self._codec, self._router.handle, self._get_limits
         )
-        self._internal = http_server.Server(
+        self._internal_server = http_server.Server(
             self._codec, relay.handle, lambda: _INTERNAL_LIMITS
         )
-        self._readiness = http_server.Server(
+        self._readiness_server = http_server.Server(
             self._codec,
             health_endpoints.make_readiness(lambda: self._is_ready),
             lambda: _INTERNAL_LIMITS,
         )
-        self._metrics = http_server.Server(
+        self._metrics_server = http_server.Server(
             self._codec, health_endpoints.answer_metrics, lambda: _INTERNAL_LIMITS
         )
 
@@ -295,17 +311,17 @@
         clients = types.parse_address(listen.clients)
         readiness = types.parse_address(listen.readiness)
         ip = self._settings.vm.ip
-        await self._clients.listen(clients.host, clients.port)
-        await self._readiness.listen(readiness.host, readiness.port)
-        await self._internal.listen(ip, listen.internal_port)
-        await self._metrics.listen(ip, listen.metrics_port)
+        await self._client_server.listen(clients.host, clients.port)
+        await self._readiness_server.listen(readiness.host, readiness.port)
+        await self._internal_server.listen(ip, listen.internal_port)
+        await self._metrics_server.listen(ip, listen.metrics_port)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self._network, local_addr=(ip, listen.internal_port)
         )
 
-    def _find_limits(self) -> model.ClientLimits:
-        table = self._front_door.table
+    def _get_limits(self) -> model.ClientLimits:
+        table = self._router.table
         return model.ClientLimits() if table is None else table.configuration.limits
 
     def _apply_settings(self, loaded: settings.Settings) -> None:
@@ -313,7 +329,7 @@
         logs.set_level(loaded.log.level)
         self._endpoints.apply_settings(loaded)
 
-    def _on_operator_row(self, row: store.Row) -> None:
+    def _on_configuration_row(self, row: store.Row) -> None:
         if row.row_key.key != records.CONFIGURATION_KEY or row.value is None:
             return
         try:
@@ -321,8 +337,8 @@
         except exceptions.ProtocolError as error:
             logs.error("configuration_unusable", version=row.version, cause=error)
             return
-        self._front_door.table = routing_table.RoutingTable(configuration)
-        self._open_when_known()
+        self._router.table = routing_table.RoutingTable(configuration)
+        self._open_when_loaded()
         metrics.CONFIG_REVISION.set(configuration.version)
         logs.info(
             "configuration_in_force",
@@ -331,66 +347,66 @@
             routes=len(configuration.routes),
         )
 
-    def _open_when_known(self) -> None:
-        """Let requests in once the configuration and the targets are known."""
-        if self._front_door.table is not None and self._targets_feed.is_loaded:
-            self._front_door.is_ready.set()
+    def _open_when_loaded(self) -> None:
+        """Accept requests once the configuration and the targets are loaded."""
+        if self._router.table is not None and self._targets_feed.is_loaded:
+            self._router.is_ready.set()
 
-        self._settle_when_known()
+        self._start_warm_up_when_loaded()
 
-    def _settle_when_known(self) -> None:
-        """Coordinate the region, if it comes to that, once this daemon knows enough."""
-        is_known = self._front_door.is_ready.is_set() and self._state_feed.is_loaded
-        if is_known and self._roster.warmed_up_s == float("inf"):
-            self._roster.warmed_up_s = time.monotonic() + _SETTLE_S
+    def _start_warm_up_when_loaded(self) -> None:
+        """Schedule the end of the warm-up once all tables are loaded."""
+        is_known = self._router.is_ready.is_set() and self._state_feed.is_loaded
+        if is_known and self._peer_registry.warmed_up_s == float("inf"):
+            self._peer_registry.warmed_up_s = time.monotonic() + _WARM_UP_S
 
-    def _note_standstill(self) -> None:
-        """Hear of the others anew before anything is decided for them."""
-        self._claims.record_process_pause()
-        self._roster.warmed_up_s = time.monotonic() + _SETTLE_S
+    def _on_process_pause(self) -> None:
+        """Warm up again before any decision about others, whose state may be stale."""
+        self._takeover.record_process_pause()
+        self._peer_registry.warmed_up_s = time.monotonic() + _WARM_UP_S
 
     def _on_state_row(self, row: store.Row) -> None:
         key = row.row_key.key
         if key.startswith(jobs.JOB_PREFIX):
-            self._book.apply(row)
+            self._job_registry.apply(row)
         elif key.startswith(jobs.MEMBER_PREFIX):
-            self._members.apply(row)
+            self._membership.apply(row)
 
     def _on_report(self) -> None:
-        self._places.dispatch()
+        self._admission.dispatch()
         self._runner.wake()
 
     async def _drop_expired(self) -> None:
         while True:
-            await asyncio.sleep(_EXPIRY_LOOK_S)
-            self._directory.drop_expired(time.monotonic())
+            await asyncio.sleep(_EXPIRY_POLL_S)
+            self._target_registry.drop_expired(time.monotonic())
 
     @property
     def _is_ready(self) -> bool:
-        return not self._is_stopping and self._front_door.is_ready.is_set()
+        return not self._is_stopping and self._router.is_ready.is_set()
 
     async def _stop(self) -> None:
-        """Leave the rotation, hand back batch work, and finish what was begun."""
+        """Fail readiness, release the jobs, and finish the requests in flight."""
         began_s = time.monotonic()
         self._is_stopping = True
-        self._clients.is_stopping = True
-        logs.info("daemon_stopping", busy=self._clients.active_connections)
+        self._client_server.is_stopping = True
+        logs.info("daemon_stopping", busy=self._client_server.active_connections)
         self._network.announce_stop()
         self._changes.stop_owning()
-        handing_back = asyncio.ensure_future(self._runner.release_jobs())
-        last_s = began_s + self._settings.stopping.grace_s - _GRACE_MARGIN_S
+        release_task = asyncio.ensure_future(self._runner.release_jobs())
+        stop_by_s = began_s + self._settings.stopping.grace_s - _GRACE_MARGIN_S
         await asyncio.sleep(_LEAVE_ROTATION_S)
-        # Nothing new is taken from here on: handing back may wait for the store until
-        # the end, which would cut what is begun meanwhile.
-        self._clients.close_listener()
-        while time.monotonic() < last_s:
-            self._clients.close_idle()
-            await asyncio.sleep(_STOP_LOOK_S)
-            if not self._clients.active_connections and handing_back.done():
+        # Accept no connections from here on: releasing the jobs may wait for the store
+        # until the end, which would cut requests that start in the meantime.
+        self._client_server.close_listener()
+        while time.monotonic() < stop_by_s:
+            self._client_server.close_idle()
+            await asyncio.sleep(_STOP_POLL_S)
+            if not self._client_server.active_connections and release_task.done():
                 break
         logs.info(
             "daemon_stopped",
-            cut=self._clients.active_connections,
+            cut=self._client_server.active_connections,
             took_ms=int((time.monotonic() - began_s) * 1000),
         )
         for task in self._tasks:
--- a/src/endivevane/serving/peer_messages.py
+++ b/src/endivevane/serving/peer_messages.py
@@ -173,7 +173,7 @@
             return _decode_notice(fields)
         return slot_messages.decode(kind, fields)
     except (AttributeError, TypeError, ValueError) as error:
-        raise ValueError(f"not a message: {error}") from error
+        raise ValueError(f"malformed datagram: {error}") from error
 
 
 def _decode_report(fields: abc.Sequence[typing.Any]) -> Report:
