--- a/features/fleet_commands.feature
+++ b/features/fleet_commands.feature
@@ -1,12 +1,12 @@
-Feature: Looking at a deployment on the platform from the command line
+Feature: Inspecting a deployment on the platform from the command line
 
   Background:
     Given a store with a configuration, targets, a daemon and two jobs
 
-  # Guards against operators who can't see what the daemons go by.
-  Scenario Outline: The rows of the store as a table or as JSON
+  # Guards against state that daemons act on but operators cannot see.
+  Scenario Outline: The rows of the store are printed as a table or as JSON
     When an operator runs "endivevanectl fleet <command>" on the store
-    Then it ends with 0 and prints <count> rows with "<text>"
+    Then it exits with 0 and prints <count> rows with "<text>"
 
     Examples:
       | command     | count | text          |
@@ -16,15 +16,15 @@
       | jobs        | 2     | front-1/ab    |
       | jobs --open | 1     | open          |
 
-  # Guards against a registration that nobody uses and nobody sees.
-  Scenario: A registration that can't be used says why
+  # Guards against invalid registrations that go unnoticed.
+  Scenario: An invalid registration is listed with its problem
     When an operator runs "endivevanectl fleet targets" on the store
     Then the row of "t-bad" has a problem
 
-  # Guards against an error that does not say what to do next.
-  Scenario Outline: A command that can't be done says what to do next
+  # Guards against errors that do not say what to do next.
+  Scenario Outline: A command that fails says what to do next
     When an operator runs "endivevanectl fleet <command>"
-    Then it ends with <code> and says "<text>"
+    Then it exits with <code> and says "<text>"
 
     Examples:
       | command                       | code | text               |
@@ -34,17 +34,17 @@
       | check --settings missing.toml | 3    | missing.toml       |
       | explain abc missing.log       | 1    | missing.log        |
 
-  # Guards against explanations that lack what became of the target.
+  # Guards against explanations that omit what happened to the target.
   Scenario: A request is explained from the logs of several daemons
     Given logs of two daemons, with lines of other programs among them
     When an operator asks for an explanation of "r-1"
     Then it lists "target_dropped, request_ended" in this order, with their files
     When an operator asks for an explanation of "r-9"
-    Then it ends with 1 and says "no line names r-9"
+    Then it exits with 1 and says "no line names r-9"
 
-  # Guards against a file that the daemons refuse later.
-  Scenario: Settings and a configuration are checked as a daemon does
+  # Guards against files that pass the check but that the daemons reject.
+  Scenario: Settings and a configuration are checked as a daemon checks them
     When an operator checks the settings and the configuration of the test
-    Then it ends with 0 and says "is valid"
+    Then it exits with 0 and says "is valid"
     When an operator checks a configuration whose route names no service
-    Then it ends with 3 and says "names no service"
+    Then it exits with 3 and says "names no service"
--- a/features/steps/fleet_commands_steps.py
+++ b/features/steps/fleet_commands_steps.py
@@ -104,8 +104,8 @@
 
 
 @dataclasses.dataclass
-class _Ended:
-    """How a command ended."""
+class _Result:
+    """Exit code and output of a command."""
 
     returncode: int
     stdout: str
@@ -123,15 +123,15 @@
         try:
             code = main.main(["fleet", *arguments])
         except SystemExit as error:
-            # argparse ends a wrong usage so.
+            # argparse exits this way on wrong usage.
             code = error.code
-    context.ended = _Ended(int(code), printed.getvalue(), errors.getvalue())
+    context.result = _Result(int(code), printed.getvalue(), errors.getvalue())
 
 
 @when('an operator runs "endivevanectl fleet {command}" on the store')
 def step_run_on_store(context, command):
     _run(context, *command.split(), "--store", context.address)
-    context.printed = context.ended.stdout
+    context.printed = context.result.stdout
     _run(context, *command.split(), "--store", context.address, "--output", "json")
 
 
@@ -140,27 +140,27 @@
     _run(context, *command.split())
 
 
-@then('it ends with 0 and prints {count:d} rows with "{text}"')
+@then('it exits with 0 and prints {count:d} rows with "{text}"')
 def step_rows(context, count, text):
-    assert context.ended.returncode == 0, context.ended.stderr
-    context.rows = json.loads(context.ended.stdout)
+    assert context.result.returncode == 0, context.result.stderr
+    context.rows = json.loads(context.result.stdout)
     assert len(context.rows) == count, context.rows
     assert len(context.printed.splitlines()) == count + 1, context.printed
     assert text in context.printed, context.printed
-    assert text in context.ended.stdout
+    assert text in context.result.stdout
 
 
 @then('the row of "{name}" has a problem')
 def step_problem(context, name):
-    rows = {row["name"]: row for row in json.loads(context.ended.stdout)}
+    rows = {row["name"]: row for row in json.loads(context.result.stdout)}
     assert rows[name]["problem"], rows
     assert not rows["t-good"]["problem"], rows
 
 
-@then('it ends with {code:d} and says "{text}"')
+@then('it exits with {code:d} and says "{text}"')
 def step_says(context, code, text):
-    assert context.ended.returncode == code, context.ended
-    assert text in context.ended.stderr, context.ended.stderr
+    assert context.result.returncode == code, context.result
+    assert text in context.result.stderr, context.result.stderr
 
 
 @given("logs of two daemons, with lines of other programs among them")
@@ -191,7 +191,7 @@
 
 @then('it lists "{events}" in this order, with their files')
 def step_explained(context, events):
-    lines = json.loads(context.ended.stdout)
+    lines = json.loads(context.result.stdout)
     found = [line["fields"]["event"] for line in lines]
     assert found == events.split(", "), lines
     assert {line["source"] for line in lines} == {"a.log"}, lines
@@ -199,7 +199,7 @@
     assert lines[1]["fields"]["causes"] == "broken answer: reset; silent", lines
 
 
-def _check(context, configuration):
+def _run_check(context, configuration):
     settings = context.folder / "settings.toml"
     settings.write_text(_SETTINGS)
     document = context.folder / "configuration.json"
@@ -211,9 +211,9 @@
 
 @when("an operator checks the settings and the configuration of the test")
 def step_check(context):
-    _check(context, serving_processes.make_fleet_configuration())
+    _run_check(context, serving_processes.make_fleet_configuration())
 
 
 @when("an operator checks a configuration whose route names no service")
 def step_check_bad(context):
-    _check(context, serving_world.make_configuration(service=None))
+    _run_check(context, serving_world.make_configuration(service=None))
--- a/features/steps/serving_outcomes_steps.py
+++ b/features/steps/serving_outcomes_steps.py
@@ -21,7 +21,7 @@
 
 
 class OutcomeFleet:
-    """Daemons that place requests by each other's reports, on a clock of its own."""
+    """Daemons that select targets by each other's reports, on a simulated clock."""
 
     def __init__(self, daemons, targets, bad, bad_share):
         self.names = [f"t{number}" for number in range(targets)]
@@ -35,22 +35,22 @@
         self.now_s = 1000.0
         self.failed = 0
         self.served = []
-        self._ends = []
+        self._completions = []
         self._number = 0
 
-    def play(self, rate, seconds, report_s):
+    def simulate(self, rate, seconds, report_s):
         until_s = self.now_s + seconds
         next_report_s = self.now_s
         while self.now_s < until_s:
             self.now_s += self.generator.expovariate(rate)
             while next_report_s <= self.now_s:
-                self._end_until(next_report_s)
-                self._share(next_report_s)
+                self._complete_until(next_report_s)
+                self._exchange_reports(next_report_s)
                 next_report_s += report_s
-            self._end_until(self.now_s)
-            self._place()
+            self._complete_until(self.now_s)
+            self._send_request()
 
-    def _place(self):
+    def _send_request(self):
         daemon = self.generator.choice(self.daemons)
         target = daemon.choices.choose_online("lm", self.now_s)
         if target is None:
@@ -61,11 +61,11 @@
         took_s = _FAILURE_S if is_failing else _SERVICE_S
         self._number += 1
         entry = (self.now_s + took_s, self._number, daemon, name, is_failing)
-        heapq.heappush(self._ends, entry)
+        heapq.heappush(self._completions, entry)
 
-    def _end_until(self, now_s):
-        while self._ends and self._ends[0][0] <= now_s:
-            end_s, _, daemon, name, is_failing = heapq.heappop(self._ends)
+    def _complete_until(self, now_s):
+        while self._completions and self._completions[0][0] <= now_s:
+            end_s, _, daemon, name, is_failing = heapq.heappop(self._completions)
             daemon.board.end(name, is_batch=False)
             daemon.board.outcomes.record(name, end_s, 1.0 if is_failing else 0.0)
             if is_failing:
@@ -73,7 +73,7 @@
             else:
                 self.served.append((end_s, name))
 
-    def _share(self, now_s):
+    def _exchange_reports(self, now_s):
         reports = [
             load_table.LoadReport(
                 loads={
@@ -91,7 +91,7 @@
                     daemon.board.set_report(str(sender), report)
 
 
-@given("{daemons:d} daemons before {count:d} targets of which {bad:d} {manner}")
+@given("{daemons:d} daemons and {count:d} targets, of which {bad:d} {manner}")
 def step_outcome_fleet(context, daemons, count, bad, manner):
     share = {
         "fail every request at once": 1.0,
@@ -101,27 +101,28 @@
 
 
 @when(
-    "{rate:d} requests a second come for {seconds:d} s, and reports are {age:g} s old"
+    "{rate:d} requests per second arrive for {seconds:d} s, with reports every "
+    "{interval_s:g} s"
 )
-def step_outcome_play(context, rate, seconds, age):
-    context.outcome_fleet.play(rate, seconds, age)
+def step_outcome_simulate(context, rate, seconds, interval_s):
+    context.outcome_fleet.simulate(rate, seconds, interval_s)
 
 
-@when("the failing targets are sound again")
-def step_outcome_sound(context):
+@when("the failing targets recover")
+def step_outcome_recover(context):
     context.outcome_fleet.bad_share = 0.0
 
 
 @then("at most {most:d} requests fail")
 def step_outcome_failed(context, most):
-    # The bound is 5 in 100 of the requests for each failing target: what chance gives
-    # one of 12 targets is 8, and one that always has room gets far more.
+    # The bound is 5 in 100 of the requests for each failing target. An even share for
+    # one of 12 targets is 8 in 100; one that always has free slots gets far more.
     assert context.outcome_fleet.failed <= most, context.outcome_fleet.failed
 
 
 @then("each target has served at least {least:d} requests in the last {last_s:d} s")
 def step_outcome_share(context, least, last_s):
-    # An equal share is 30 a target; two thirds of it are asked for.
+    # An equal share is 30 requests per target; two thirds of it are required.
     fleet = context.outcome_fleet
     served = collections.Counter(
         name for end_s, name in fleet.served if end_s > fleet.now_s - last_s
@@ -129,7 +130,7 @@
     assert min(served[name] for name in fleet.names) >= least, served
 
 
-def _tell(context, peers, answers, names):
+def _set_reports(context, peers, answers, names):
     for peer in range(peers):
         report = load_table.LoadReport(
             loads={},
@@ -139,23 +140,25 @@
         context.fleet.board.set_report(f"peer{peer}", report)
 
 
-@given("one peer has seen {count:d} answers of the first target fail")
+@given("one peer reports {count:d} failed responses of the first target")
 def step_one_peer(context, count):
-    _tell(context, 1, count, ["t0"])
+    _set_reports(context, 1, count, ["t0"])
 
 
 @given(
-    "{peers:d} peers have each seen {count:d} answers of the first {bad:d} targets fail"
+    "{peers:d} peers each report {count:d} failed responses of the first {bad:d} "
+    "targets"
 )
 @when(
-    "{peers:d} peers have each seen {count:d} answers of the first {bad:d} targets fail"
+    "{peers:d} peers each report {count:d} failed responses of the first {bad:d} "
+    "targets"
 )
 def step_many_peers(context, peers, count, bad):
-    _tell(context, peers, count, context.names[:bad])
+    _set_reports(context, peers, count, context.names[:bad])
 
 
 def _is_ejected(context):
-    """Whether the first target gets no work although all others are full."""
+    """Return whether the first target gets no work although all others are full."""
     now_s = time.monotonic()
     board = context.fleet.board
     for name in context.names[1:]:
@@ -216,23 +219,23 @@
 
 
 @when(
-    "{count:d} first events of the first target come after {slow_ms:d} ms, and others "
-    "after {usual_ms:d} ms"
+    "{count:d} first events of the first target take {slow_ms:d} ms, and others "
+    "{normal_ms:d} ms"
 )
-def step_slow_events(context, count, slow_ms, usual_ms):
+def step_slow_events(context, count, slow_ms, normal_ms):
     recorder = _make_recorder(context)
     slow = context.fleet.find("t0").target
-    usual = context.fleet.find("t1").target
+    normal = context.fleet.find("t1").target
     for _ in range(count):
         now_s = time.monotonic()
         for _ in range(8):
             progress = _make_progress(now_s)
-            recorder.record_first_event(usual, progress, now_s + usual_ms / 1000)
+            recorder.record_first_event(normal, progress, now_s + normal_ms / 1000)
         progress = _make_progress(now_s)
         recorder.record_first_event(slow, progress, now_s + slow_ms / 1000)
 
 
-@when("an answer of the first target is {answer}")
+@when("a response of the first target is {answer}")
 def step_one_answer(context, answer):
     recorder = _make_recorder(context)
     target = context.fleet.find("t0").target
@@ -256,7 +259,7 @@
     assert (share > 0) == (counts == "counts"), share
 
 
-@when('a daemon that has seen 2 of 5 answers of "{name}" fail reports to another one')
+@when('a daemon with 2 failures in 5 responses of "{name}" reports to another one')
 def step_report_outcomes(context, name):
     sender = outcome_table.OutcomeTable()
     now_s = time.monotonic()
@@ -272,15 +275,17 @@
     context.board.set_report("d1", report)
 
 
-@then('the other daemon counts {failed:d} failures of {answers:d} answers of "{name}"')
+@then(
+    'the other daemon counts {failed:d} failures in {answers:d} responses of "{name}"'
+)
 def step_counted_outcomes(context, failed, answers, name):
     summed = context.board.outcomes.sum_with(["d1"], context.reported_s)
     counted = (summed[name].failures, summed[name].answers)
     assert counted == (failed, answers), counted
 
 
-@then("after the daemon has been silent for {silence_s:d} s it counts none")
-def step_silent_outcomes(context, silence_s):
+@then("after {silence_s:d} s without a report it counts none")
+def step_expired_outcomes(context, silence_s):
     later_s = context.reported_s + silence_s
     context.board.drop_stale_reports(later_s)
     assert context.board.outcomes.sum_with(["d1"], later_s) == {}
--- a/features/steps/serving_process_steps.py
+++ b/features/steps/serving_process_steps.py
@@ -22,7 +22,7 @@
     context.cleanups.append(context.fleet.stop)
 
 
-@given("targets that take {gap_ms:d} ms for an event")
+@given("targets that take {gap_ms:d} ms per event")
 def step_slow(context, gap_ms):
     context.fleet.set_manner(gap_s=gap_ms / 1000)
 
@@ -33,14 +33,14 @@
     context.fleet.set_manner(gap_s=gap_ms / 1000, events=events)
 
 
-@given("routes that give requests {limit_s:d} s")
+@given("routes with a timeout of {limit_s:d} s")
 def step_route_limit(context, limit_s):
     configuration = context.fleet.configuration
     for route in configuration["routes"]:
         route["timeoutMs"] = limit_s * 1000
     configuration["version"] += 5
     context.fleet.call(context.fleet.store.write, "op", "config", configuration)
-    # The daemons follow the store by long polls.
+    # The daemons follow the store by long polling.
     time.sleep(0.5)
 
 
@@ -53,22 +53,22 @@
     return context.fleet.daemons[0 if which == "first" else 1]
 
 
-@when("a client asks the {which} daemon for a stream")
-@then("a client asks the {which} daemon for a stream")
-def step_ask(context, which):
+@when("a client requests a stream from the {which} daemon")
+@then("a client requests a stream from the {which} daemon")
+def step_request_stream(context, which):
     request = serving_world.make_request()
     context.reply = context.fleet.ask(_daemon(context, which), request)
 
 
-@then("the client has all events and the end")
-def step_whole(context):
+@then("the client has received the complete stream")
+def step_complete_stream(context):
     count = getattr(context, "events", 6)
     expected = b"".join(replica.make_event("abc", n) for n in range(1, count + 1))
     assert context.reply.body == expected, context.reply
     assert context.reply.is_complete
 
 
-@when("a job of {count:d} items is handed to the {which} daemon")
+@when("a job of {count:d} items is submitted to the {which} daemon")
 def step_submit(context, count, which):
     context.count = count
     request = serving_processes.make_job(_JOB, count)
@@ -76,7 +76,7 @@
 
 
 @when(
-    "a job of {count:d} items with {wait_ms:d} ms to wait is handed to the "
+    "a job of {count:d} items with a deadline of {wait_ms:d} ms is submitted to the "
     "{which} daemon"
 )
 def step_submit_short(context, count, wait_ms, which):
@@ -85,7 +85,7 @@
     context.reply = context.fleet.ask(_daemon(context, which), request)
 
 
-@when("the same job is handed to the {which} daemon")
+@when("the same job is submitted to the {which} daemon")
 def step_submit_again(context, which):
     step_submit(context, context.count, which)
 
@@ -129,13 +129,13 @@
 
 
 @then("each daemon lists the same results at the same positions")
-def step_same(context):
+def step_same_results(context):
     first, second = _read(context, "first"), _read(context, "second")
     assert first["results"] == second["results"]
     assert _read(context, "second", 4)["results"] == first["results"][4:]
 
 
-@then("the body of an item is the one that was handed in")
+@then("the body of an item is the submitted one")
 def step_body(context):
     path = f"/api/items/{_JOB}?id={_JOB}item3"
     request = serving_processes.make_call("GET", path)
@@ -143,7 +143,7 @@
     assert (reply.status, reply.body) == (200, b"item 3"), reply
 
 
-@then("a second submission of the job is accepted and runs nothing more")
+@then("a second submission of the job is accepted and runs nothing again")
 def step_resubmit(context):
     before = sum(len(item.runs) for item in context.fleet.replicas)
     step_submit(context, context.count, "second")
@@ -153,15 +153,15 @@
     assert after == before, (before, after)
 
 
-@given("targets that make {events:d} events of an item, one each {gap_ms:d} ms")
+@given("targets that send {events:d} events per item, one every {gap_ms:d} ms")
 def step_long(context, events, gap_ms):
     context.fleet.set_manner(events=events, gap_s=gap_ms / 1000)
     context.events = events
 
 
-@then("the second daemon went on behind events that the first one had stored")
-def step_went_on(context):
-    # Progress is stored every 2 s once an item has 16 new events, which 4.5 s allow.
+@then("the second daemon resumed after events that the first one had stored")
+def step_resumed(context):
+    # Progress is stored every 2 s once an item has 16 new events; 4.5 s allow that.
     starts = [run.last_event for item in context.fleet.replicas for run in item.runs]
     assert any(start >= 16 for start in starts), starts
 
@@ -173,8 +173,8 @@
     _daemon(context, which).process.kill()
 
 
-@then("no item stands twice in the list")
-def step_once(context):
+@then("no item is listed twice")
+def step_no_duplicates(context):
     ids = [result["id"] for result in context.results]
     assert len(set(ids)) == len(ids), ids
 
@@ -187,7 +187,7 @@
     assert reply.status == 200, reply
 
 
-@then("within {limit_s:g} s no target works on an item")
+@then("within {limit_s:g} s no target runs an item")
 def step_stopped(context, limit_s):
     until_s = time.monotonic() + limit_s
     while time.monotonic() < until_s and _list_running(context):
@@ -213,7 +213,7 @@
     step_end(context, "first")
 
 
-@then("each item has reached the targets {count:d} times")
+@then("each item has been sent to targets {count:d} times")
 def step_runs(context, count):
     runs = [run.attempt for item in context.fleet.replicas for run in item.runs]
     for number in range(context.count):
@@ -225,21 +225,21 @@
     context.fleet.store.faults.status = 503
 
 
-@when("the platform's store is back")
+@when("the platform's store is up again")
 def step_store_back(context):
     context.fleet.store.faults.status = 0
-    # A feed that failed tries again within half a second.
+    # A feed that failed retries within half a second.
     time.sleep(1.0)
 
 
-@when("{seconds:g} s have gone by")
+@when("{seconds:g} s have passed")
 def step_wait(context, seconds):
     time.sleep(seconds)
 
 
-@when("the store turns the first daemon away")
-def step_turn_away(context):
-    # Nothing listens at the port that the daemon now has for the store.
+@when("the first daemon cannot reach the store")
+def step_unreachable_store(context):
+    # Nothing listens on the store port in the daemon's new settings.
     daemon = context.fleet.daemons[0]
     daemon.write_settings(serving_processes.find_free_ports(1)[0])
     daemon.process.send_signal(signal.SIGHUP)
@@ -269,7 +269,7 @@
     assert took_ms < limit_ms + 500, took_ms
 
 
-@when("a client asks the first daemon for a stream and the daemon is asked to stop")
+@when("a client requests a stream from the first daemon, which then gets SIGTERM")
 def step_stop(context):
     daemon = context.fleet.daemons[0]
     request = serving_world.make_request()
@@ -283,12 +283,12 @@
         context.reply = asking.result()
 
 
-@then("the daemon is not ready any more at once")
+@then("the daemon fails its readiness check at once")
 def step_not_ready(context):
     assert not context.was_ready
 
 
-@then("the daemon has ended with status 0 within {limit_s:g} s")
+@then("the daemon exits with status 0 within {limit_s:g} s")
 def step_ended(context, limit_s):
     left_s = context.stopped_s + limit_s - time.monotonic()
     assert context.fleet.daemons[0].process.wait(left_s) == 0
@@ -301,7 +301,7 @@
 
 
 @when("the first daemon's settings file becomes invalid and it gets SIGHUP")
-def step_bad_settings(context):
+def step_invalid_settings(context):
     daemon = context.fleet.daemons[0]
     text = daemon.path.read_text().replace("[stopping]", "")
     daemon.path.write_text(text + "[stopping]\ngrace_s = -1\n")
@@ -310,7 +310,7 @@
 
 
 @then("its log names the file, the key and the reason")
-def step_bad_logged(context):
+def step_invalid_logged(context):
     daemon = context.fleet.daemons[0]
     log = daemon.log_path.read_text()
     (line,) = [item for item in log.splitlines() if "settings_refused" in item]
@@ -345,21 +345,21 @@
     assert key in context.run.stderr, context.run
 
 
-@when("the platform's store falls silent and the first daemon is asked to stop")
-def step_silent_stop(context):
+@when("the platform's store stops answering and the first daemon gets SIGTERM")
+def step_stop_without_store(context):
     time.sleep(0.7)
     context.fleet.store.faults.silent = True
     context.stopped_s = time.monotonic()
     serving_processes.send_signal(context.fleet.daemons[0])
 
 
-@then("{seconds:g} s later it takes no connection")
+@then("{seconds:g} s later it accepts no connection")
 def step_no_connection(context, seconds):
     time.sleep(context.stopped_s + seconds - time.monotonic())
     daemon = context.fleet.daemons[0]
-    assert daemon.process.poll() is None, "it has ended already"
+    assert daemon.process.poll() is None, "the daemon has exited already"
     try:
         socket.create_connection(("127.0.0.1", daemon.port), 1).close()
     except ConnectionRefusedError:
         return
-    raise AssertionError("a connection was taken")
+    raise AssertionError("a connection was accepted")
--- a/features/support/serving_processes.py
+++ b/features/support/serving_processes.py
@@ -1,4 +1,4 @@
-"""Daemons as processes, with the store and the targets in the test's own loop."""
+"""Daemon processes, with the store and the targets on an event loop of the test."""
 
 import asyncio
 import base64
@@ -21,9 +21,9 @@
 
 
 def find_free_ports(count):
-    """Return ports that are free now on every address of this machine.
+    """Return ports that are currently free on every address of this machine.
 
-    Daemons of other tests have addresses of their own on loopback.
+    Daemons of other tests use their own loopback addresses.
     """
     sockets = []
     for _ in range(count):
@@ -80,7 +80,7 @@
 
     def __init__(self, number, store_port, internal_port, folder):
         self.name = f"front-{number}"
-        # All daemons have the same internal port, so each one has an address.
+        # All daemons use the same internal port, so each one has its own address.
         self.ip = f"127.0.0.{number + 1}"
         self.internal_port = internal_port
         ports = find_free_ports(3)
@@ -166,7 +166,7 @@
         until_s = time.monotonic() + _START_S
         while time.monotonic() < until_s:
             if all(item.is_ready() for item in self.daemons):
-                # Daemons hear of each other within a report's interval.
+                # Daemons learn of each other within one report interval.
                 time.sleep(1.0)
                 return
             time.sleep(0.05)
