--- a/src/endivevane/serving/outcome_table.py
+++ b/src/endivevane/serving/outcome_table.py
@@ -95,7 +95,7 @@
     ) -> None:
         """Replace the outcomes that a peer has reported.
 
-        :param is_of_region: whether it speaks for all daemons of its region
+        :param covers_region: whether the report covers all daemons of a region
         """
         self.drop_report(peer)
         if not outcomes:
--- a/src/endivevane/serving/peer_registry.py
+++ b/src/endivevane/serving/peer_registry.py
@@ -2,8 +2,8 @@
 
 The daemons of a small region exchange heartbeats directly. Those of a large one report
 only to the two highest-ranked daemons; the first of these, the coordinator, sends the
-others the membership. The rank is a rendezvous hash of the names of the alive daemons,
-so no election is needed. Daemons whose views differ for a moment use different
+others the membership. The rank is a weighted rendezvous hash of the names of the alive
+daemons, so no election is needed. Daemons whose views differ for a moment use different
 coordinators; the only cost is that slots are granted twice.
 """
 
@@ -67,7 +67,7 @@
     last_direct_s: float = 0.0
 
     def is_lost(self, now_s: float) -> bool:
-        """Return whether it is unresponsive for so long that it may be gone."""
+        """Return whether it is unresponsive for so long that most messages are lost."""
         return now_s - max(self.last_seen_s, self.known_since_s) > _LOST_AFTER_S
 
 
@@ -178,7 +178,7 @@
             self._add_unregistered(unregistered_peer, state.region)
         if state.is_known and state.region == self._identity.region:
             self.membership_updated_s = now_s
-        missing = frozenset(state.unresponsive)
+        unresponsive_names = frozenset(state.unresponsive)
         stopping = frozenset(state.stopping)
         for peer in self.peers.values():
             if peer.region != state.region:
@@ -189,7 +189,7 @@
                 self._ranks.clear()
             if not state.is_known:
                 continue
-            if peer.name not in missing:
+            if peer.name not in unresponsive_names:
                 peer.last_seen_s = now_s
             elif peer.last_seen_s:
                 peer.last_seen_s = 0.0
@@ -209,15 +209,19 @@
             as unresponsive before all have had time to report
         """
         is_known = now_s - since_s >= _FIRST_REPORT_S
-        missing: list[str] = []
+        unresponsive_names: list[str] = []
         stopping: list[str] = []
-        new_peers: list[peer_messages.UnregisteredPeer] = []
+        unregistered_peers: list[peer_messages.UnregisteredPeer] = []
         for peer in self.peers.values():
             if peer.region != region:
                 continue
-            is_fresh = now_s - peer.known_since_s < _FIRST_REPORT_S
-            if is_known and not is_fresh and now_s - peer.last_seen_s >= DEAD_AFTER_S:
-                missing.append(peer.name)
+            is_new_peer = now_s - peer.known_since_s < _FIRST_REPORT_S
+            if (
+                is_known
+                and not is_new_peer
+                and now_s - peer.last_seen_s >= DEAD_AFTER_S
+            ):
+                unresponsive_names.append(peer.name)
                 continue
             if peer.is_stopping:
                 stopping.append(peer.name)
@@ -225,11 +229,15 @@
                 unregistered_peer = peer_messages.UnregisteredPeer(
                     peer.name, peer.host, peer.incarnation
                 )
-                new_peers.append(unregistered_peer)
+                unregistered_peers.append(unregistered_peer)
         if self.is_stopping and region == self._identity.region:
             stopping.append(self._identity.name)
         return peer_messages.RegionState(
-            region, is_known, tuple(missing), tuple(stopping), tuple(new_peers)
+            region,
+            is_known,
+            tuple(unresponsive_names),
+            tuple(stopping),
+            tuple(unregistered_peers),
         )
 
     def is_alive(self, name: str, incarnation: str = "") -> bool:
@@ -342,10 +350,10 @@
     def _may_coordinate(self, peer: Peer, now_s: float) -> bool:
         if peer.is_stopping or now_s < peer.suspect_until_s:
             return False
-        is_fresh = (
+        is_new_peer = (
             not peer.last_seen_s and now_s - peer.known_since_s < _NEW_PEER_GRACE_S
         )
-        return is_fresh or self.is_alive(peer.name)
+        return is_new_peer or self.is_alive(peer.name)
 
     def _compute_score(self, region: str, name: str, weight: float) -> float:
         key = (region, name, weight)
--- a/src/endivevane/serving/peers.py
+++ b/src/endivevane/serving/peers.py
@@ -207,7 +207,7 @@
         peer = self._registry.peers.get(message.name)
         is_direct = not message.covers_region or peer is None or peer.host == host
         if is_direct and self._record_heartbeat(message, host, now_s):
-            self._greet(host)
+            self._answer_new_peer(host)
         if message.covers_region:
             self._apply_region_report(message, report, is_direct, now_s)
         elif message.region == self._identity.region:
@@ -285,7 +285,7 @@
         self._names[host] = message.name
         return self._registry.record_heartbeat(seen)
 
-    def _greet(self, host: str) -> None:
+    def _answer_new_peer(self, host: str) -> None:
         """Send a report to a new daemon, which may not know any other one yet.
 
         In a region without a coordinator the next regular report does this.
@@ -321,8 +321,8 @@
         for peer in self._registry.peers.values():
             known.add(peer.host)
             is_lost = peer.is_lost(now_s)
-            is_far = peer.region != self._identity.region
-            if (is_far or is_lost) and not (is_lost and is_lost_turn):
+            is_remote = peer.region != self._identity.region
+            if (is_remote or is_lost) and not (is_lost and is_lost_turn):
                 continue
             self._send(data, peer.host, peer.port)
         if is_lost_turn:
--- a/src/endivevane/serving/region_reports.py
+++ b/src/endivevane/serving/region_reports.py
@@ -53,12 +53,14 @@
             return
         self._sent_s = now_s
         region = self._identity.region
-        far = [peer for peer in self._registry.peers.values() if peer.region != region]
-        if not far:
+        remote_peers = [
+            peer for peer in self._registry.peers.values() if peer.region != region
+        ]
+        if not remote_peers:
             return
         alive = self._registry.list_alive()
-        near = [peer for peer in alive if peer.region == region]
-        members = dict.fromkeys((peer.name for peer in near), 1.0)
+        region_peers = [peer for peer in alive if peer.region == region]
+        members = dict.fromkeys((peer.name for peer in region_peers), 1.0)
         members[self._identity.name] = 1.0
         if since_s is None and not self._is_reporter(members):
             return
@@ -73,12 +75,12 @@
             outcomes=self._load_table.outcomes.sum_with(members, now_s),
         )
         if since_s is None:
-            report = dataclasses.replace(report, alive=self._list_alive(near))
+            report = dataclasses.replace(report, alive=self._list_alive(region_peers))
         else:
             state = self._registry.describe_region(region, since_s, now_s)
             report = dataclasses.replace(report, state=state)
         data = peer_messages.encode(report)
-        for peer in self._list_recipients(far, now_s):
+        for peer in self._list_recipients(remote_peers, now_s):
             self._send(data, peer)
 
     def _is_reporter(self, members: abc.Mapping[str, float]) -> bool:
@@ -86,18 +88,20 @@
         return chosen == self._identity.name
 
     def _list_alive(
-        self, near: abc.Iterable[peer_registry.Peer]
+        self, region_peers: abc.Iterable[peer_registry.Peer]
     ) -> tuple[tuple[str, str], ...]:
         """Return the alive daemons; others take over the jobs of those left out."""
         alive_runs = [
-            (peer.name, peer.incarnation) for peer in near if not peer.is_stopping
+            (peer.name, peer.incarnation)
+            for peer in region_peers
+            if not peer.is_stopping
         ]
         if not self._registry.is_stopping or not alive_runs:
             alive_runs.append((self._identity.name, self._identity.incarnation))
         return tuple(alive_runs)
 
     def _list_recipients(
-        self, far: abc.Iterable[peer_registry.Peer], now_s: float
+        self, remote_peers: abc.Iterable[peer_registry.Peer], now_s: float
     ) -> list[peer_registry.Peer]:
         """Return the daemons of the other regions that get this report.
 
@@ -105,14 +109,16 @@
         elsewhere the highest-ranked daemons in turn, which forward it.
         """
         recipients: list[peer_registry.Peer] = []
-        for region in sorted({peer.region for peer in far}):
+        for region in sorted({peer.region for peer in remote_peers}):
             names = self._registry.rank(region, now_s)
             if names and not self._registry.has_coordinator(region):
                 names = [names[self._count % len(names)]]
             if not any(self._registry.is_alive(name) for name in names):
                 # While no ranked daemon there is alive, any other one may be: try each
                 # in turn.
-                known = sorted(peer.name for peer in far if peer.region == region)
+                known = sorted(
+                    peer.name for peer in remote_peers if peer.region == region
+                )
                 names = [*names, known[self._count % len(known)]]
             recipients.extend(self._registry.peers[name] for name in names)
         return recipients
