--- a/features/steps/embedding_steps.py
+++ b/features/steps/embedding_steps.py
@@ -44,7 +44,7 @@
     assert context.run.returncode == 0, context.run.stderr
 
 
-@then("no module of another folder of endivevane is loaded")
+@then("no other package of endivevane is loaded")
 def step_modules(context):
     allowed = ("endivevane", "endivevane.exceptions", "endivevane.coordination")
     others = [
--- a/features/steps/leases_steps.py
+++ b/features/steps/leases_steps.py
@@ -18,7 +18,7 @@
     session.record(lease.run_attempt(context.store, session.start_attempt()))
 
 
-def _watch(context):
+def _observe(context):
     now_s = context.clock.monotonic_s()
     row = context.store.rows(lease.TABLE).get("d1")
     context.observer.observe("d1", row, now_s, now_s)
@@ -32,7 +32,7 @@
         return False
     operation_id = f"acquire-{next(_operations)}"
     outcome = fencing.acquire(context.store, "g1", row, name, epoch, operation_id)
-    context.fences[name].record_acquired("g1", epoch, outcome.unwrap())
+    context.owned_groups[name].record_acquired("g1", epoch, outcome.unwrap())
     return True
 
 
@@ -40,24 +40,24 @@
     context.clock = clock.ManualClock(wall_ms=1_000_000)
     context.store = testing.MemoryTableStore()
     context.observer = lease.SessionObserver(_MARGIN_S, context.clock)
-    context.leases, context.fences = {}, {}
+    context.leases, context.owned_groups = {}, {}
     for name in ("d1", "d2"):
         session = lease.SessionLease(name, {}, _TERM_S, context.clock)
         context.leases[name] = session
-        context.fences[name] = fencing.GroupFences(
+        context.owned_groups[name] = fencing.OwnedGroups(
             session, _TERM_S, _LONGEST_ORDER_S, context.clock
         )
         _renew(context, name)
     assert _acquire(context, "d1")
-    context.old = context.fences["d1"].find("g1")
+    context.old = context.owned_groups["d1"].find("g1")
 
 
 @then(
-    '"{action}" is {with_lease} with a lease and a silent store, '
+    '"{action}" is {with_lease} with a lease and an unavailable store, '
     "{without} without both, and {lapsed} with a store but no lease"
 )
 def step_check_action(context, action, with_lease, without, lapsed):
-    wanted = lease.Action[action]
+    checked_action = lease.Action[action]
     cases = (
         (True, False, with_lease),
         (False, False, without),
@@ -65,23 +65,23 @@
         (True, True, "allowed"),
     )
     for has_lease, has_store, expected in cases:
-        found = lease.is_allowed(wanted, has_lease, has_store)
+        found = lease.is_allowed(checked_action, has_lease, has_store)
         assert found == (expected == "allowed"), (has_lease, has_store)
 
 
-@given("an engine group owned by a daemon whose session has lapsed")
-def step_lapsed_owner(context):
+@given("an engine group owned by a daemon whose session has expired")
+def step_expired_owner(context):
     _build_group(context)
-    _watch(context)
+    _observe(context)
     context.clock.advance(_TERM_S + _MARGIN_S + 0.1)
-    _watch(context)
+    _observe(context)
     _renew(context, "d2")
 
 
 @given("an engine group owned by a daemon whose session is valid")
 def step_valid_owner(context):
     _build_group(context)
-    assert context.fences["d1"].may_send_order("g1", is_fencing_checked=True)
+    assert context.owned_groups["d1"].may_send_order("g1", is_fencing_checked=True)
 
 
 @when("another daemon acquires the group")
@@ -91,17 +91,17 @@
 
 @then("it may order engines that check fencing at once")
 def step_check_at_once(context):
-    assert context.fences["d2"].may_send_order("g1", is_fencing_checked=True)
+    assert context.owned_groups["d2"].may_send_order("g1", is_fencing_checked=True)
 
 
 @then(
     "it may order engines that ignore fencing only after the old term "
     "and the longest order"
 )
-def step_check_quiet(context):
-    fences = context.fences["d2"]
+def step_check_grace(context):
+    owned_groups = context.owned_groups["d2"]
     started_s = context.clock.monotonic_s()
-    while not fences.may_send_order("g1", is_fencing_checked=False):
+    while not owned_groups.may_send_order("g1", is_fencing_checked=False):
         context.clock.advance(0.5)
         _renew(context, "d2")
         assert context.clock.monotonic_s() - started_s < 100
@@ -109,10 +109,10 @@
     assert waited_s >= _TERM_S + _LONGEST_ORDER_S, waited_s
 
 
-@then("the fencing number is higher than the old one")
-def step_check_number(context):
-    number = context.fences["d2"].find("g1").fencing_token
-    assert number > context.old.fencing_token, (number, context.old)
+@then("the fencing token is higher than the old one")
+def step_check_token(context):
+    token = context.owned_groups["d2"].find("g1").fencing_token
+    assert token > context.old.fencing_token, (token, context.old)
 
 
 @when("the owner is paused past its term")
@@ -123,7 +123,7 @@
 @then("it may not order any engine")
 def step_check_no_order(context):
     for is_checked in (True, False):
-        assert not context.fences["d1"].may_send_order("g1", is_checked)
+        assert not context.owned_groups["d1"].may_send_order("g1", is_checked)
 
 
 @then("it may not after it has a new epoch")
@@ -134,19 +134,19 @@
     step_check_no_order(context)
 
 
-@when("the owner renews its session for a minute while another daemon watches")
+@when("the owner renews its session for a minute while another daemon observes it")
 def step_renew_long(context):
     for _ in range(60):
         context.clock.advance(1.0)
         _renew(context, "d1")
         _renew(context, "d2")
-        _watch(context)
+        _observe(context)
 
 
 @then("the other daemon may not acquire the group")
 def step_check_not_taken(context):
     assert not _acquire(context, "d2")
-    assert context.fences["d1"].find("g1") == context.old
+    assert context.owned_groups["d1"].find("g1") == context.old
 
 
 @given(
@@ -187,14 +187,14 @@
     raise AssertionError(f"no epoch above {old}: {lines[-3:]}")
 
 
-@then("no action of the first member after it woke carries its old epoch")
+@then("no action of the first member after it resumed carries its old epoch")
 def step_check_no_old_epoch(context):
     time.sleep(2.0)
     first = context.group.members[0]
     old = {line["epoch"] for line in context.before if line["epoch"]}
     lines = context.group.read_lines(first)
     after = [line for line in lines if line["at_s"] > context.woken_at_s]
-    assert old and after, "the member did not act before, or did not wake"
+    assert old and after, "the member did not act before the stop or after it"
     wrong = [line for line in after if line["epoch"] in old]
     assert not wrong, wrong[:3]
 
--- a/features/steps/orders_decisions_steps.py
+++ b/features/steps/orders_decisions_steps.py
@@ -48,7 +48,7 @@
     _make_holding(context, count, ("a", "b"))
 
 
-@when('the engines that hold "c" and others go, {count:d} in all')
+@when('the engines that hold "c" and others are lost, {count:d} in all')
 def step_lose_half(context, count):
     engines = sorted(
         context.group.live(), key=lambda item: (("c", "1") not in item.held, item.name)
@@ -101,7 +101,7 @@
         context.group.run_round()
 
 
-@then("no order was given")
+@then("no order was sent")
 def step_check_no_order(context):
     assert context.group.orders == [], context.group.orders
 
@@ -182,24 +182,24 @@
     )
     for _ in range(count):
         context.group.run_round()
-        is_settled = context.group.now_s > context.group.settings.residence_s
-        assert is_settled or context.group.count("b") == 3
+        is_past_residence = context.group.now_s > context.group.settings.residence_s
+        assert is_past_residence or context.group.count("b") == 3
 
 
-@then('"b" is loaded nowhere and "a" is served by {count:d} engines')
+@then('"b" is not loaded anywhere and "a" is served by {count:d} engines')
 def step_check_undeclared(context, count):
     assert context.group.count("b") == 0
     assert context.group.count("a") == count
 
 
 def _change_randomly(group, generator):
-    """Lose or return engines and change the document; return the replicas to load."""
+    """Lose or return engines and change the document; return the expected loads."""
     causes = 0
     for item in list(group.engines.values()):
         if not item.is_live and generator.random() < 0.08:
             group.bring_back([item.name])
             continue
-        # Three stay, so that every model has a place.
+        # Three stay, so that there is capacity for every model.
         if item.is_live and len(group.live()) > 3 and generator.random() < 0.03:
             causes += len(item.view().models) + len(item.view().loading)
             group.lose([item.name])
@@ -212,28 +212,28 @@
     return causes
 
 
-@when("engines go and return at random over {count:d} rounds with seed {seed:d}")
+@when("engines are lost and return at random over {count:d} rounds with seed {seed:d}")
 def step_run_random(context, count, seed):
     print(f"seed={seed}")
     generator = random.Random(seed)
     group = context.group
     group.settings = dataclasses.replace(group.settings, residence_s=60.0)
-    # Replicas that were still lacking in the first round are none.
+    # No replica is missing before the first round.
     context.causes = 0
     for _ in range(count):
         context.causes += _change_randomly(group, generator)
         group.run_round()
 
 
-@then("every unloading is past its residence time or serves a model without replica")
+@then("every unload is past the residence time or makes room for an unserved model")
 def step_check_residence(context):
     loaded_s = {}
     unloads = 0
     rounds = context.group.orders
     for at_s, order, unserved in rounds:
-        place = (order.target, order.model, order.version)
+        replica = (order.target, order.model, order.version)
         if order.action == "load_model":
-            loaded_s[place] = at_s
+            loaded_s[replica] = at_s
         if order.action != "unload_model":
             continue
         unloads += 1
@@ -244,13 +244,13 @@
             and other.target == order.target
             and other.action == "load_model"
         }
-        is_settled = at_s - loaded_s.get(place, 0.0) >= 60.0
-        assert is_settled or loads & unserved, (order, at_s, loads, unserved)
+        is_past_residence = at_s - loaded_s.get(replica, 0.0) >= 60.0
+        assert is_past_residence or loads & unserved, (order, at_s, loads, unserved)
     print(f"unloads={unloads}")
-    assert unloads, "no replica made room for another one"
+    assert unloads, "no replica was evicted for another one"
 
 
-@then("each load replaces a replica that was lost, displaced or declared anew")
+@then("each load replaces a lost or evicted replica or adds a newly declared one")
 def step_check_causes(context):
     orders = [order for _, order, _ in context.group.orders]
     loads = sum(order.action == "load_model" for order in orders)
@@ -259,7 +259,7 @@
     assert 0 < loads <= context.causes + unloads
 
 
-@then("no order follows once the engines stay as they are")
+@then("no order follows once the engines no longer change")
 def step_check_quiet(context):
     context.group.run_until_quiet(_PLACE_ROUNDS)
     given_before = len(context.group.orders)
--- a/features/steps/orders_demand_steps.py
+++ b/features/steps/orders_demand_steps.py
@@ -34,7 +34,7 @@
         _run_for(context.group, swing_s)
 
 
-@then("at most {limit:d} loads were ordered, {first:d} of them for empty places")
+@then("at most {limit:d} loads were ordered, {first:d} of them without an eviction")
 def step_check_loads(context, limit, first):
     orders = [order for _, order, _ in context.group.orders]
     loads = sum(order.action == "load_model" for order in orders)
@@ -48,11 +48,11 @@
 def step_check_residence(context, limit_s):
     loaded_s = {}
     for at_s, order, _ in context.group.orders:
-        place = (order.target, order.model)
+        replica = (order.target, order.model)
         if order.action == "load_model":
-            loaded_s[place] = at_s
+            loaded_s[replica] = at_s
             continue
-        assert at_s - loaded_s[place] >= limit_s, (place, loaded_s[place], at_s)
+        assert at_s - loaded_s[replica] >= limit_s, (replica, loaded_s[replica], at_s)
 
 
 @then("no more than {limit:d} engines loaded at the same time for demand")
@@ -98,7 +98,7 @@
     context.bench = scheduling.Bench(current)
 
 
-@when("{count:d} requests arrive and the clock goes on by {duration_s:d} seconds")
+@when("{count:d} requests arrive and the clock advances by {duration_s:d} seconds")
 def step_arrive(context, count, duration_s):
     context.decisions = [context.bench.submit(deadline_s=500.0) for _ in range(count)]
     context.first = context.bench.scheduler.demand.read()
@@ -118,7 +118,7 @@
     assert late.sent_per_s < 0.01, late
 
 
-@when("all leave and the clock goes on by {duration_s:d} seconds")
+@when("all end and the clock advances by {duration_s:d} seconds")
 def step_leave(context, duration_s):
     online = context.bench.scheduler
     for decision in context.decisions:
@@ -154,7 +154,7 @@
 
 @then("each owner knows of {running:d} running requests of its service")
 def step_check_slots(context, running):
-    # A hundredth of a slot is lost in rounding for each collector.
+    # Rounding loses up to a hundredth of a slot per collector.
     for models in context.daemons.read_slots():
         (slots,) = models.values()
         assert abs(slots / running - 1.05) < 0.02, slots
@@ -176,7 +176,7 @@
     assert 0 < rates[-1] <= limit, rates[-1]
 
 
-@when("{count:d} daemons that own nothing go and {duration_s:d} seconds pass")
+@when("{count:d} daemons that own nothing are lost and {duration_s:d} seconds pass")
 def step_go(context, count, duration_s):
     context.daemons.lose(context.daemons.names[-count:])
     context.daemons.run(duration_s)
--- a/features/steps/orders_fencing_steps.py
+++ b/features/steps/orders_fencing_steps.py
@@ -26,27 +26,27 @@
 def _make_memory(context, checks, choose_fault=None):
     group_clock = clock.ManualClock(100.0, 1_000_000)
     engines = _make_engines(group_clock, checks, choose_fault)
-    context.rivals = engine_owners.Competition(engines, clock_=group_clock)
+    context.competition = engine_owners.Competition(engines, clock_=group_clock)
 
 
 def _sent(context):
-    return [item for target in context.rivals.engines for item in target.sent]
+    return [item for target in context.competition.engines for item in target.sent]
 
 
-@given("an owner of engines in memory that check numbers")
+@given("an owner of engines in memory that check fencing tokens")
 def step_make_owner(context):
     _make_memory(context, (True, True))
-    context.rivals.owners[0].renew()
+    context.competition.owners[0].renew()
 
 
 @when("the owner is paused past its term while it reads back")
 def step_pause_reading(context):
     def pause():
-        context.rivals.clock.advance(engine_owners.TERM_S + 1.0)
+        context.competition.clock.advance(engine_owners.TERM_S + 1.0)
 
-    context.rivals.engines[0].on_fetch = pause
-    context.rivals.run(0)
-    assert context.rivals.owners[0].owner.ownership is None
+    context.competition.engines[0].on_fetch = pause
+    context.competition.run(0)
+    assert context.competition.owners[0].owner.ownership is None
 
 
 @when("the owner is paused until less than a call's time of its term is left")
@@ -54,39 +54,39 @@
     left_s = engine_owners.SETTINGS.call_timeout_s / 2
 
     def pause():
-        context.rivals.clock.advance(engine_owners.TERM_S - left_s)
+        context.competition.clock.advance(engine_owners.TERM_S - left_s)
 
-    context.rivals.engines[0].on_fetch = pause
-    context.rivals.run(0)
+    context.competition.engines[0].on_fetch = pause
+    context.competition.run(0)
 
 
-@then("it gave no order")
+@then("it sent no order")
 def step_check_none(context):
     assert _sent(context) == [], _sent(context)
 
 
-@then("it gives the orders after it has renewed its session")
+@then("it sends the orders after it has renewed its session")
 def step_check_after(context):
-    context.rivals.engines[0].on_fetch = lambda: None
-    context.rivals.owners[0].renew()
-    context.rivals.run(0)
+    context.competition.engines[0].on_fetch = lambda: None
+    context.competition.owners[0].renew()
+    context.competition.run(0)
     assert "load_model" in [item.action for item in _sent(context)]
 
 
 @when("the answer to its first order to load is lost after it took effect")
 def step_lose_answer(context):
     faults = collections.deque(["lost_after"])
-    for target in context.rivals.engines:
+    for target in context.competition.engines:
         target.choose_fault = lambda: faults.popleft() if faults else None
     for _ in range(5):
-        context.rivals.run(0)
-        context.rivals.clock.advance(engine_owners.SETTINGS.interval_s)
-        context.rivals.owners[0].renew()
+        context.competition.run(0)
+        context.competition.clock.advance(engine_owners.SETTINGS.interval_s)
+        context.competition.owners[0].renew()
 
 
 @then("each engine got one order to load and holds the model")
 def step_check_once(context):
-    for target in context.rivals.engines:
+    for target in context.competition.engines:
         loads = [item for item in target.sent if item.action == "load_model"]
         assert len(loads) == 1, loads
         assert ("b", "1") in target.models
@@ -94,40 +94,40 @@
 
 @when("the answer to its acquisition is lost after it took effect")
 def step_lose_acquisition(context):
-    # The read of the row works; the write and the reads that settle it do not.
+    # The read of the row succeeds; the write and the reads that resolve it fail.
     lost = [None, Fault.LOST_AFTER, *[Fault.DOWN] * 6]
-    context.rivals.store.script(*lost)
-    context.rivals.run(0)
-    assert context.rivals.owners[0].owner.ownership is None
+    context.competition.store.script(*lost)
+    context.competition.run(0)
+    assert context.competition.owners[0].owner.ownership is None
     for _ in range(10):
-        context.rivals.run(0)
-    assert context.rivals.owners[0].owner.ownership is not None
+        context.competition.run(0)
+    assert context.competition.owners[0].owner.ownership is not None
 
 
-@then("it owns the group with the number of the row and has written the row once")
-def step_check_adopted(context):
-    row = context.rivals.store.rows(fencing.TABLE)[engine_owners.GROUP]
-    owned = context.rivals.owners[0].owner.ownership
+@then("it owns the group with the token of the row and has written the row once")
+def step_check_acquired(context):
+    row = context.competition.store.rows(fencing.TABLE)[engine_owners.GROUP]
+    owned = context.competition.owners[0].owner.ownership
     assert owned.fencing_token == row.revision
-    written = context.rivals.store.count_writes(fencing.TABLE, engine_owners.GROUP)
+    written = context.competition.store.count_writes(fencing.TABLE, engine_owners.GROUP)
     assert written == 1, written
 
 
 @when("two owners renew their sessions and try over {count:d} rounds")
 def step_try_both(context, count):
     for _ in range(count):
-        context.rivals.clock.advance(engine_owners.SETTINGS.interval_s)
+        context.competition.clock.advance(engine_owners.SETTINGS.interval_s)
         for index in (0, 1):
-            context.rivals.owners[index].renew()
-            context.rivals.run(index)
+            context.competition.owners[index].renew()
+            context.competition.run(index)
 
 
 @then("the first keeps the group and its row is written once")
 def step_check_kept(context):
-    first, second = context.rivals.owners
+    first, second = context.competition.owners
     assert first.owner.ownership is not None
     assert second.owner.ownership is None
-    written = context.rivals.store.count_writes(fencing.TABLE, engine_owners.GROUP)
+    written = context.competition.store.count_writes(fencing.TABLE, engine_owners.GROUP)
     assert written == 1, written
     assert {item.owner for item in _sent(context)} == {"d1"}
 
@@ -141,29 +141,29 @@
         return generator.choice(_ORDER_FAULTS) if generator.random() < 0.2 else None
 
     _make_memory(context, (True, True, False, False), choose_order_fault)
-    rivals = context.rivals
-    rivals.store.choose_fault = lambda _kind: (
+    competition = context.competition
+    competition.store.choose_fault = lambda _kind: (
         generator.choice(_STORE_FAULTS) if generator.random() < 0.15 else None
     )
     paused_until_s = [0.0, 0.0]
     for _ in range(count):
-        rivals.clock.advance(generator.uniform(0.2, 3.0))
-        _disturb(rivals, generator)
+        competition.clock.advance(generator.uniform(0.2, 3.0))
+        _disturb(competition, generator)
         for index in generator.sample((0, 1), 2):
-            now_s = rivals.clock.monotonic_s()
+            now_s = competition.clock.monotonic_s()
             if now_s < paused_until_s[index]:
                 continue
             if generator.random() < 0.02:
                 paused_until_s[index] = now_s + generator.uniform(5.0, 40.0)
                 continue
             if generator.random() < 0.7:
-                rivals.owners[index].renew()
-            rivals.run(index)
+                competition.owners[index].renew()
+            competition.run(index)
 
 
-def _disturb(rivals, generator):
-    """Unload a model behind the owners' back, so that orders are needed."""
-    target = generator.choice(rivals.engines)
+def _disturb(competition, generator):
+    """Unload a model without an order, so that the owners must send one."""
+    target = generator.choice(competition.engines)
     if generator.random() < 0.3:
         target.models.pop(generator.choice([("a", "1"), ("b", "1")]), None)
     is_slow = generator.random() < 0.05
@@ -171,38 +171,38 @@
 
     def pause():
         target.on_fetch = lambda: None
-        rivals.clock.advance(pause_s)
+        competition.clock.advance(pause_s)
 
     target.on_fetch = pause
 
 
-@then("no number was used by two owners and both have given orders")
-def step_check_numbers(context):
+@then("no token was used by two owners and both have sent orders")
+def step_check_tokens(context):
     owners = collections.defaultdict(set)
     for item in _sent(context):
-        owners[item.number].add(item.owner)
+        owners[item.token].add(item.owner)
     print(f"orders={len(_sent(context))} numbers={len(owners)}")
     assert all(len(names) == 1 for names in owners.values()), dict(owners)
-    assert len(set.union(*owners.values())) == 2, "one owner never gave an order"
+    assert len(set.union(*owners.values())) == 2, "one owner never sent an order"
 
 
-@then("no order was given without a valid session")
+@then("no order was sent without a valid session")
 def step_check_valid(context):
     late = [item for item in _sent(context) if not item.was_valid]
     assert late == [], late[:3]
 
 
-@then("no engine took an order with a lower number after one with a higher")
+@then("no engine applied an order with a lower token after one with a higher")
 def step_check_increasing(context):
-    for target in context.rivals.engines:
-        numbers = [number for _, number, _ in target.applied]
-        assert numbers == sorted(numbers), (target.name, target.checks_fencing)
+    for target in context.competition.engines:
+        tokens = [token for _, token, _ in target.applied]
+        assert tokens == sorted(tokens), (target.name, target.checks_fencing)
 
 
 # Real engines
 
 
-def _make_socket_rivals(context, checks):
+def _make_socket_competition(context, checks):
     address = context.address
     stub = engine_owners.MemoryFencedEngine("engine-0", checks, None)
 
@@ -211,13 +211,13 @@
         pool = http_pool.HttpPool(target.address, limits)
         return engine.EngineClient(pool)
 
-    context.rivals = engine_owners.Competition(
+    context.competition = engine_owners.Competition(
         [stub], make_client, {"engine-0": address}
     )
-    context.rivals.request = engine_owners.make_request(
+    context.competition.round_input = engine_owners.make_round_input(
         [("engine-0", checks)], {"engine-0": address}, ("small-lm", "other-lm")
     )
-    context.client = make_client(context.rivals.request.targets[0])
+    context.client = make_client(context.competition.round_input.targets[0])
 
 
 def _state(context):
@@ -235,34 +235,34 @@
 
 
 def _run_first_until_loaded(context):
-    rivals = context.rivals
+    competition = context.competition
     for _ in range(40):
-        rivals.owners[0].renew()
-        rivals.run(0)
+        competition.owners[0].renew()
+        competition.run(0)
         _wait_idle(context)
         if _held(context) == {"small-lm", "other-lm"}:
             return
-        rivals.clock.advance(engine_owners.SETTINGS.interval_s)
+        competition.clock.advance(engine_owners.SETTINGS.interval_s)
     raise AssertionError(_state(context))
 
 
 @when("an owner has loaded a second model and is paused until another one owns it")
 def step_take_over(context):
     checks = "--ignore-fencing" not in context.engine.process.arguments
-    _make_socket_rivals(context, checks)
+    _make_socket_competition(context, checks)
     _run_first_until_loaded(context)
-    context.old_number = context.rivals.owners[0].owner.ownership.fencing_token
+    context.old_token = context.competition.owners[0].owner.ownership.fencing_token
     context.orders_before = len(context.engine.record()["orders"])
-    context.rivals.pause_first_until_taken_over()
-    context.acquired_s = context.rivals.clock.monotonic_s()
-    context.rivals.run(1)
+    context.competition.pause_first_until_taken_over()
+    context.acquired_s = context.competition.clock.monotonic_s()
+    context.competition.run(1)
     _wait_idle(context)
 
 
 @when("the old owner's order to unload the model arrives late")
 def step_send_late(context):
     context.late = context.client.send_order(
-        context.old_number, "unload_model", model="other-lm", version="1"
+        context.old_token, "unload_model", model="other-lm", version="1"
     )
     _wait_idle(context)
 
@@ -273,45 +273,45 @@
     assert _held(context) == {"small-lm", "other-lm"}
 
 
-@then("the old owner gives no order when it goes on")
+@then("the old owner sends no order when it resumes")
 def step_check_old(context):
     before = len(context.engine.record()["orders"])
-    context.rivals.run(0)
-    context.rivals.owners[0].renew()
-    context.rivals.run(0)
+    context.competition.run(0)
+    context.competition.owners[0].renew()
+    context.competition.run(0)
     assert len(context.engine.record()["orders"]) == before
 
 
-@then("the model is gone and the new owner gives no order before the quiet time")
-def step_check_quiet(context):
+@then("the model is gone and the new owner sends no order before the grace period ends")
+def step_check_grace(context):
     assert context.late.is_ok(), context.late
     assert _held(context) == {"small-lm"}
     settings = engine_owners.SETTINGS
-    quiet_s = settings.longest_term_s + settings.longest_order_s
+    grace_s = settings.longest_term_s + settings.longest_order_s
     late_count = len(context.engine.record()["orders"])
     while True:
-        now_s = context.rivals.clock.monotonic_s()
+        now_s = context.competition.clock.monotonic_s()
         step_s = settings.interval_s
-        if now_s + step_s >= context.acquired_s + quiet_s:
+        if now_s + step_s >= context.acquired_s + grace_s:
             break
-        context.rivals.clock.advance(step_s)
-        context.rivals.owners[1].renew()
-        context.rivals.run(1)
+        context.competition.clock.advance(step_s)
+        context.competition.owners[1].renew()
+        context.competition.run(1)
     orders = context.engine.record()["orders"]
     assert len(orders) == late_count, orders[late_count:]
 
 
-@then("after the quiet time the new owner loads the model again")
-def step_check_put_right(context):
+@then("after the grace period the new owner loads the model again")
+def step_check_corrected(context):
     for _ in range(3):
-        context.rivals.clock.advance(engine_owners.SETTINGS.interval_s)
-        context.rivals.owners[1].renew()
-        context.rivals.run(1)
+        context.competition.clock.advance(engine_owners.SETTINGS.interval_s)
+        context.competition.owners[1].renew()
+        context.competition.run(1)
         _wait_idle(context)
     assert _held(context) == {"small-lm", "other-lm"}
     last = context.engine.record()["orders"][-1]
-    number = context.rivals.owners[1].owner.ownership.fencing_token
-    assert (last["action"], last["fencing_number"]) == ("load_model", number), last
+    token = context.competition.owners[1].owner.ownership.fencing_token
+    assert (last["action"], last["fencing_number"]) == ("load_model", token), last
 
 
 @given("an engine that closes the connection after it has read an order")
--- a/features/steps/orders_fleet_steps.py
+++ b/features/steps/orders_fleet_steps.py
@@ -109,16 +109,16 @@
     context.live = [item for item in context.live if item not in context.holders]
 
 
-@then("only one daemon has given orders, each engine at most {limit:d} loads")
+@then("only one daemon has sent orders, each engine at most {limit:d} loads")
 def step_check_orders(context, limit):
-    numbers = set()
+    tokens = set()
     for item in context.live:
         orders = item.record()["orders"]
-        numbers |= {order["fencing_number"] for order in orders}
+        tokens |= {order["fencing_number"] for order in orders}
         loads = [order for order in orders if order["action"] == "load_model"]
         assert len(loads) <= limit, loads
         assert all(order["accepted"] for order in orders), orders
-    assert len(numbers) == 1, numbers
+    assert len(tokens) == 1, tokens
 
 
 @then(
@@ -149,7 +149,7 @@
             step_check_holders(context, limit, count)
         finally:
             ended.set()
-            # A caller that failed has asked for less than the scenario says, which
-            # explains the rest.
+            # A failed caller means less demand than the scenario assumes, so its error
+            # explains the other failures.
             for item in asking:
                 item.result()
--- a/features/steps/orders_limits_steps.py
+++ b/features/steps/orders_limits_steps.py
@@ -31,7 +31,7 @@
     plan = placement.compute(
         plans.Group(group.declared, views), group.settings, group.now_s
     )
-    assert plan.short[model] == 1, plan.short
+    assert plan.missing_replicas[model] == 1, plan.missing_replicas
 
 
 @when('"c" of {replicas:d} replicas is declared and placed')
@@ -63,10 +63,10 @@
 
 @when('"c" without any replica is planned while the other engine is {state}')
 def step_plan(context, state):
-    is_steady = {"under doubt": False, "steady": True}[state]
+    is_quiescent = {"uncertain": False, "steady": True}[state]
     full, other = context.views
-    # The other engine gets no orders, so that only the full one can take the model.
-    other = dataclasses.replace(other, is_fresh=False, is_steady=is_steady)
+    # The other engine gets no orders, so that only the full one can load the model.
+    other = dataclasses.replace(other, is_fresh=False, is_quiescent=is_quiescent)
     declared = tuple(engine_groups.make_model(name, 1) for name in "abcd")
     group = plans.Group(declared, (full, other))
     context.plan = placement.compute(group, plans.PlacementSettings(), 0.0)
@@ -74,12 +74,12 @@
 
 @then('the full engine keeps "a"')
 def step_check_keeps(context):
-    assert set(context.plan.wanted["full"]) == {("a", "1"), ("b", "1")}
+    assert set(context.plan.desired["full"]) == {("a", "1"), ("b", "1")}
 
 
-@then('the full engine gives "a" up for "c"')
+@then('the full engine evicts "a" for "c"')
 def step_check_gives(context):
-    assert set(context.plan.wanted["full"]) == {("b", "1"), ("c", "1")}
+    assert set(context.plan.desired["full"]) == {("b", "1"), ("c", "1")}
 
 
 @given("one engine loads at a time while all may change")
--- a/features/steps/orders_roles_steps.py
+++ b/features/steps/orders_roles_steps.py
@@ -94,7 +94,7 @@
 )
 def step_make_engines(context, count, share):
     context.share = share
-    context.keeper = roles.RoleAssigner()
+    context.assigner = roles.RoleAssigner()
     context.views = [_view(f"e{n}", "a" if n < 2 else "b") for n in range(count)]
 
 
@@ -105,7 +105,7 @@
 
 
 def _decide(context, views):
-    wanted = context.keeper.compute(
+    wanted = context.assigner.compute(
         context.service.model, context.service.targets, views, 8
     )
     return {name for name, role in wanted.items() if role == "prefill"}
@@ -164,7 +164,7 @@
 
 
 @then("all 3 engines get the role both")
-def step_check_put_back(context):
+def step_check_reverted(context):
     assert set(_decide_declared(context).values()) == {"both"}
 
 
--- a/features/support/demand_daemons.py
+++ b/features/support/demand_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons in memory that exchange demand, and the bytes of their messages."""
+"""In-memory daemons that exchange demand and count the bytes of their messages."""
 
 import collections
 
@@ -11,7 +11,7 @@
 
 
 class DemandDaemons:
-    """Daemons with a demand exchange each, and one owner for each service."""
+    """Daemons with one demand exchange each, and one owner per service."""
 
     def __init__(self, count, services, running):
         self.clock = clock.ManualClock(100.0, 1_000_000)
--- a/features/support/engine_groups.py
+++ b/features/support/engine_groups.py
@@ -1,4 +1,4 @@
-"""Engines in memory for the scenarios of the placement decisions."""
+"""In-memory engines for the scenarios of the placement."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 from endivevane.orders import placement, plans, replicas, residence
 
 ZONES = ("zone-a", "zone-b", "zone-c")
-# Two rounds of the group's owner, within which an ordered load ends here.
+# Rounds of the group's owner that a load takes.
 LOAD_ROUNDS = 2
 SLOTS = 16
 ROUND_S = 2.0
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass
 class MemoryEngine:
-    """An engine that carries out orders after some rounds, one after the other."""
+    """An engine that executes orders in sequence; a load takes some rounds."""
 
     name: str
     zone: str
@@ -47,11 +47,11 @@
             loaded,
             loading - set(self.held),
             is_busy=is_busy,
-            is_steady=not is_busy,
+            is_quiescent=not is_busy,
         )
 
     def step(self):
-        """Carry out one round of the queue."""
+        """Execute the queued orders of one round."""
         while self.queue:
             order = self.queue[0]
             if order.action == "load_model" and self.waits < LOAD_ROUNDS:
@@ -74,7 +74,7 @@
 
 
 class MemoryGroup:
-    """A service with engines in memory; checks the limits after every round.
+    """A service with in-memory engines; checks the limits after every round.
 
     :param declared: models of the document
     """
@@ -86,10 +86,10 @@
             f"e{index}": MemoryEngine(f"e{index}", ZONES[index % len(ZONES)])
             for index in range(count)
         }
-        self.residence = residence.Residence()
-        self.replicas = replicas.ReplicaTargets(replicas.DemandSettings())
+        self.residence = residence.ResidenceTracker()
+        self.replicas = replicas.ReplicaAutoscaler(replicas.DemandSettings())
         self.demand_slots = {}
-        self.slots_per_place = SLOTS / self.settings.max_models
+        self.slots_per_model = SLOTS / self.settings.max_models
         self.now_s = 0.0
         self.orders = []
         self.most_loading = 0
@@ -119,13 +119,13 @@
             item.step()
         for item in self.declared:
             if before[item.name]:
-                assert self.count(item.name), f"the last replica of {item.name} went"
+                assert self.count(item.name), f"no replica of {item.name} is left"
         views = [item.view() for item in self.live()]
         self.residence.observe(views, self.now_s)
         group = plans.Group(
             self.declared,
             views,
-            targets=self._compute_targets(len(views)),
+            desired_replicas=self._compute_desired_replicas(len(views)),
             since_s=dict(self.residence.since_s),
         )
         plan = placement.compute(group, self.settings, self.now_s)
@@ -133,7 +133,7 @@
         for view in views:
             if view.is_busy:
                 continue
-            sent += plans.list_orders(view, plan.wanted[view.name])
+            sent += plans.list_orders(view, plan.desired[view.name])
         for order in sent:
             self.engines[order.target].queue.append(order)
         self._check_bounds(views)
@@ -149,19 +149,19 @@
         self.orders += [(self.now_s, order, unserved) for order in sent]
         return sent
 
-    def _compute_targets(self, engines):
+    def _compute_desired_replicas(self, engines):
         if self.demand_slots is None:
             return None
         self.replicas.observe(self.demand_slots, self.now_s)
-        places = engines * self.settings.max_models
+        capacity = engines * self.settings.max_models
         return self.replicas.compute(
-            self.declared, places, engines, self.slots_per_place
+            self.declared, capacity, engines, self.slots_per_model
         )
 
     def _check_bounds(self, views):
         busy = [item for item in self.live() if item.queue]
         limit = max(1, int(self.settings.max_reloading_share * len(views)))
-        # Engines that went meanwhile lower the limit, but loads under way go on.
+        # Lost engines lower the limit, but the loads in progress continue.
         limit = max(limit, sum(view.is_busy for view in views))
         assert len(busy) <= limit, (len(busy), limit)
         loading = sum(
@@ -173,7 +173,7 @@
         assert loading <= allowed, (loading, allowed)
 
     def run_until_quiet(self, limit):
-        """Run rounds until one has no order and nothing is under way."""
+        """Run rounds until one has no order and no order is in progress."""
         for count in range(limit):
             sent = self.run_round()
             if not sent and not any(item.queue for item in self.live()):
--- a/features/support/engine_owners.py
+++ b/features/support/engine_owners.py
@@ -1,4 +1,4 @@
-"""Owners of an engine group over an in-memory store, with engines in memory."""
+"""Owners of an engine group over an in-memory store, with in-memory engines."""
 
 import concurrent.futures
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class InlineExecutor(concurrent.futures.Executor):
-    """Runs each call at once, so that the order of calls is the same in every run."""
+    """Runs each call synchronously, so that the order of calls is deterministic."""
 
     def submit(self, function, /, *arguments, **named):
         future = concurrent.futures.Future()
@@ -31,7 +31,7 @@
 @dataclasses.dataclass(frozen=True)
 class ReceivedOrder:
     owner: str
-    number: int
+    token: int
     action: str
     model: str
     sent_s: float
@@ -40,9 +40,9 @@
 
 
 class MemoryFencedEngine:
-    """An engine in memory that may lose answers and take orders late.
+    """An in-memory engine that may lose answers and receive orders late.
 
-    :param checks_fencing: whether it refuses old numbers
+    :param checks_fencing: whether it refuses old fencing tokens
     :param choose_fault: returns ``None``, ``lost_before``, ``lost_after`` or ``late``
     """
 
@@ -53,7 +53,7 @@
         self.choose_fault = choose_fault or (lambda: None)
         self.on_fetch = lambda: None
         self.models = {("a", "1"): set()}
-        self.number = 0
+        self.token = 0
         self.sent = []
         self.applied = []
         self.late = []
@@ -69,24 +69,24 @@
             {
                 "models": models,
                 "role": "both",
-                "fencing_number": self.number,
+                "fencing_number": self.token,
                 "in_progress": 0,
             }
         )
 
     def deliver_late(self):
-        """Take the orders that were under way and are due."""
+        """Handle the delayed orders that are due."""
         now_s = self.clock.monotonic_s()
         due = [item for item in self.late if item[0] <= now_s]
         self.late = [item for item in self.late if item[0] > now_s]
-        for _, owner, number, action, arguments in due:
-            self.take(owner, number, action, arguments)
+        for _, owner, token, action, arguments in due:
+            self.handle_order(owner, token, action, arguments)
 
-    def take(self, owner, number, action, arguments):
-        is_accepted = number >= self.number or not self.checks_fencing
+    def handle_order(self, owner, token, action, arguments):
+        is_accepted = token >= self.token or not self.checks_fencing
         if is_accepted:
-            self.applied.append((owner, number, action))
-            self.number = max(number, self.number)
+            self.applied.append((owner, token, action))
+            self.token = max(token, self.token)
             key = (arguments.get("model"), arguments.get("version"))
             match action:
                 case "load_model":
@@ -97,7 +97,7 @@
 
 
 class OwnerClient:
-    """One owner's client of an engine in memory."""
+    """One owner's client of an in-memory engine."""
 
     def __init__(self, owner, target):
         self._owner = owner
@@ -106,7 +106,7 @@
     def fetch_state(self):
         return self._target.fetch_state()
 
-    def send_order(self, number, action, **arguments):
+    def send_order(self, token, action, **arguments):
         target, owner = self._target, self._owner
         fault = target.choose_fault()
         lost = result.Err(engine.EngineError(types.Address("127.0.0.1", 1), "lost"))
@@ -114,13 +114,13 @@
         is_accepted = False
         if fault == "late":
             due_s = now_s + SETTINGS.longest_order_s * 0.9
-            target.late.append((due_s, owner.daemon, number, action, arguments))
+            target.late.append((due_s, owner.daemon, token, action, arguments))
         elif fault != "lost_before":
-            is_accepted = target.take(owner.daemon, number, action, arguments)
+            is_accepted = target.handle_order(owner.daemon, token, action, arguments)
         target.sent.append(
             ReceivedOrder(
                 owner.daemon,
-                number,
+                token,
                 action,
                 arguments.get("model", ""),
                 now_s,
@@ -132,14 +132,15 @@
             return lost
         if not is_accepted:
             address = types.Address("127.0.0.1", 1)
-            return result.Err(engine.FencingRefused(address, "old number"))
+            return result.Err(engine.FencingRefused(address, "old token"))
         return result.Ok(None)
 
 
 class Owner:
     """A daemon with its lease and the owner under test.
 
-    :param make_client: by target; clients of the engines in memory when ``None``
+    :param make_client: returns the client of a target; by default that of its in-memory
+        engine
     """
 
     def __init__(self, daemon, store, group_clock, engines=(), make_client=None):
@@ -174,15 +175,15 @@
             Owner(name, self.store, self.clock, engines, make_client)
             for name in ("d1", "d2")
         ]
-        self.request = make_request(
+        self.round_input = make_round_input(
             [(item.name, item.checks_fencing) for item in engines], addresses or {}
         )
 
     def run(self, index):
-        self.owners[index].owner.run_round(self.request)
+        self.owners[index].owner.run_round(self.round_input)
 
     def pause_first_until_taken_over(self):
-        """Let the second daemon renew and look while the first does nothing."""
+        """Run only the second daemon until it owns the group."""
         for _ in range(30):
             self.clock.advance(SETTINGS.interval_s)
             self.owners[1].renew()
@@ -192,7 +193,7 @@
         raise AssertionError("the group was not taken over")
 
 
-def make_request(targets, addresses, models=("a", "b")):
+def make_round_input(targets, addresses, models=("a", "b")):
     document = {
         "kind": "service",
         "name": GROUP,
@@ -211,4 +212,4 @@
     }
     current = snapshot.build_snapshot(1, {f"services/{GROUP}": document})
     service = current.services[GROUP]
-    return orders.Request(service, service.targets)
+    return orders.RoundInput(service, service.targets)
--- a/features/support/fuzz_feed.py
+++ b/features/support/fuzz_feed.py
@@ -1,4 +1,4 @@
-"""Fuzzing of the configuration feed against the truth about the head."""
+"""Fuzzing of the configuration feed against the actual head revision."""
 
 from hypothesis import stateful
 from hypothesis import strategies as st
@@ -10,10 +10,10 @@
 
 
 class FeedMachine(stateful.RuleBasedStateMachine):
-    """One daemon that restarts, pauses and hears from store and peers in any order.
+    """One daemon that restarts, pauses and gets answers in any order.
 
-    Every revision up to the head was in force at some peer; an answer may be late, so
-    that it names a revision that was the newest some time ago.
+    Every revision up to the head was in force at some peer; a late answer carries a
+    revision that was the newest some time ago.
     """
 
     steps_run = 0
@@ -44,7 +44,7 @@
 
     @stateful.rule(back=st.integers(0, 3), delay_s=st.sampled_from([0.0, 1.0, 20.0]))
     def read(self, back, delay_s):
-        """The table service answers, after a pause of this process if it is long."""
+        """The table service answers, possibly after a long pause of this process."""
         self.count()
         started_s = self.clock.monotonic_s()
         revision = max(self.head - back, 0) if delay_s else self.head
@@ -94,12 +94,12 @@
 
     @stateful.invariant()
     def the_revision_never_goes_back(self):
-        assert self.feed.applied_revision >= self.highest, "went back"
+        assert self.feed.applied_revision >= self.highest, "the revision decreased"
         self.highest = self.feed.applied_revision
 
     @stateful.invariant()
     def current_only_with_a_reason(self):
-        """The oracle: a head that was read, or half of the three peers of the zone."""
+        """Oracle: a head was read, or half of the zone's three peers answered."""
         is_current = self.feed.is_current()
         in_zone = [name for name in self.answers if _PEERS[name] == "z1"]
         has_reason = self.read_head is not None or len(in_zone) >= 2
@@ -113,7 +113,7 @@
 
 
 class _ObedientFeed(feed.ConfigurationFeed):
-    """Broken: applies whatever arrives."""
+    """Broken: applies every revision."""
 
     def apply(self, revision):
         self.applied_revision = revision
@@ -121,14 +121,14 @@
 
 
 class ObedientMachine(FeedMachine):
-    """Fuzzes a feed that goes back."""
+    """Fuzzes a feed that applies older revisions."""
 
     steps_run = 0
     feed_class = _ObedientFeed
 
 
 class _HastyFeed(feed.ConfigurationFeed):
-    """Broken: one answer is enough."""
+    """Broken: a single answer confirms the revision."""
 
     def record_answer(self, daemon, revision, is_current):
         super().record_answer(daemon, revision, is_current)
@@ -136,7 +136,7 @@
 
 
 class HastyMachine(FeedMachine):
-    """Fuzzes a feed that takes a single answer for the truth."""
+    """Fuzzes a feed that trusts a single answer."""
 
     steps_run = 0
     feed_class = _HastyFeed
--- a/features/support/fuzz_lease.py
+++ b/features/support/fuzz_lease.py
@@ -1,7 +1,7 @@
 """Fuzzing of session leases against the history of the store.
 
-Two processes share the name ``d1``, as after a restart while the old one is paused. A
-process may pause between the start, the run and the record of an attempt, and every
+Two processes share the name ``d1``, as after a restart while the old process is paused.
+A process may pause between the start, the run and the record of an attempt, and each
 call to the store may fail in any way.
 """
 
@@ -26,12 +26,12 @@
         self.lease = make_lease(machine_clock)
         self.attempt = None
         self.outcome = None
-        self.lapsed = set()
+        self.expired = set()
         self.valid_epoch = None
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Two holders of one name and one observer over a store that fails."""
+    """Two holders of one name and one observer over a faulty store."""
 
     steps_run = 0
     lease_class = lease.SessionLease
@@ -93,7 +93,7 @@
 
     @stateful.rule()
     def delete_row(self):
-        """The holder without a valid epoch deletes the row, as on a planned stop."""
+        """Delete the row while no epoch is valid, as on a planned stop."""
         self.count()
         if any(holder.lease.is_valid() for holder in self.holders):
             return
@@ -124,12 +124,12 @@
             assert now_s < sent_s + _TERM_S, f"valid {now_s - sent_s} s after sending"
 
     @stateful.invariant()
-    def a_lapsed_epoch_never_returns(self):
+    def an_expired_epoch_is_never_reused(self):
         for holder in self.holders:
             epoch = holder.lease.epoch
             if holder.valid_epoch is not None and epoch != holder.valid_epoch:
-                holder.lapsed.add(holder.valid_epoch)
-            assert epoch not in holder.lapsed, f"epoch {epoch} came back"
+                holder.expired.add(holder.valid_epoch)
+            assert epoch not in holder.expired, f"epoch {epoch} was reused"
             holder.valid_epoch = epoch
 
     @stateful.invariant()
@@ -140,11 +140,11 @@
             for write in item.writes
             if write.value is not None
         ]
-        assert epochs == sorted(epochs), f"the row went back: {epochs}"
+        assert epochs == sorted(epochs), f"the epoch in the row decreased: {epochs}"
 
 
 class SingleHolderMachine(LeaseMachine):
-    """One holder: no observer may end an epoch that is still valid."""
+    """One holder: no observer may consider its valid epoch expired."""
 
     steps_run = 0
     holders_count = 1
@@ -178,7 +178,7 @@
 class _RevivingLease(lease.SessionLease):
     """Broken: renews an epoch whose term has ended."""
 
-    def _drop_lapsed(self):
+    def _drop_expired(self):
         if self._epoch is None and self._last_epoch:
             self._epoch = self._last_epoch
 
@@ -187,7 +187,7 @@
 
 
 class RevivingMachine(LeaseMachine):
-    """Fuzzes a holder that goes on with an epoch after its term."""
+    """Fuzzes a holder that continues an epoch after its term."""
 
     steps_run = 0
     lease_class = _RevivingLease
--- a/features/support/fuzz_membership.py
+++ b/features/support/fuzz_membership.py
@@ -1,4 +1,4 @@
-"""Fuzzing of the failure detector over a network that loses and repeats messages."""
+"""Fuzzing of the failure detector over a network that loses and duplicates messages."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 class MembershipMachine(stateful.RuleBasedStateMachine):
-    """Five detectors; any message may be lost, repeated or late."""
+    """Five detectors; any message may be lost, duplicated or late."""
 
     steps_run = 0
 
@@ -32,10 +32,14 @@
 
     def start_process(self, name):
         zone = _ZONES[name]
-        place = members.Description(f"{name}:1", zone, _REGIONS[zone])
+        location = members.Description(f"{name}:1", zone, _REGIONS[zone])
         settings = probes.DetectorSettings(sync_interval_s=5.0)
         self.detectors[name] = membership.FailureDetector(
-            name, place, settings, self.clock, random.Random(self.generator.random())
+            name,
+            location,
+            settings,
+            self.clock,
+            random.Random(self.generator.random()),
         )
         for other in _NAMES:
             if other != name:
@@ -59,11 +63,11 @@
         for name in sorted(self.detectors):
             if name not in self.paused:
                 self.detectors[name].tick()
-                self.meet_strangers(name)
+                self.join_unregistered_peers(name)
                 self.collect(name)
 
-    def meet_strangers(self, name):
-        """Join through the session rows, as the cluster task does for a gateway."""
+    def join_unregistered_peers(self, name):
+        """Join as a gateway's cluster task does for peers found in the session rows."""
         detector = self.detectors[name]
         self.ticks += 1
         if self.ticks % 7 or not detector.is_gateway():
@@ -114,23 +118,23 @@
             self.collect(name)
 
     @stateful.invariant()
-    def reports_never_go_back(self):
+    def states_never_revert(self):
         for name, detector in self.detectors.items():
             for member in detector.table:
                 now = (member.incarnation, member.state)
                 before = self.seen.get((name, member.name), (-1, 0))
-                assert now >= before, f"{name} went back on {member.name}: {now}"
+                assert now >= before, f"{name} reverted {member.name} to {now}"
                 self.seen[name, member.name] = now
 
     @stateful.invariant()
-    def nobody_accuses_itself(self):
+    def nobody_suspects_itself(self):
         for name, detector in self.detectors.items():
             own = detector.table.get(name)
             assert own.state is members.MemberState.ALIVE, own
             assert own == detector.me
 
     def teardown(self):
-        """After the faults have ended, all views must equal the truth."""
+        """After the faults have ended, all views must become correct."""
         self.paused.clear()
         for _ in range(_HEAL_TICKS):
             self.tick_all()
@@ -139,7 +143,7 @@
                 if receiver in self.detectors:
                     self.detectors[receiver].handle(message)
                     self.collect(receiver)
-            if self.views_are_true():
+            if self.views_are_correct():
                 return
         views = {name: self.view(name) for name in self.detectors}
         raise AssertionError(f"views differ after the faults ended: {views}")
@@ -151,18 +155,18 @@
             if member.state is members.MemberState.ALIVE
         )
 
-    def views_are_true(self):
-        truth = sorted(self.detectors)
-        return all(self.view(name) == truth for name in self.detectors)
+    def views_are_correct(self):
+        expected = sorted(self.detectors)
+        return all(self.view(name) == expected for name in self.detectors)
 
 
-class _ForgetfulRoster(membership_view.MembershipView):
-    """Broken: takes every report, whatever its incarnation."""
+class _StaleView(membership_view.MembershipView):
+    """Broken: applies every update, whatever its incarnation."""
 
     def _merge_one(self, update, now_s):
         member = self.table.get(update.name)
         if update.name != self.me.name and member is not None:
-            self._accept(update, member.description, member, now_s)
+            self._apply(update, member.description, member, now_s)
 
     def merge(self, updates, now_s):
         for update in updates:
@@ -171,11 +175,11 @@
 
 
 class ForgetfulMachine(MembershipMachine):
-    """Fuzzes detectors that take old reports for new."""
+    """Fuzzes detectors that apply stale updates."""
 
     def start_process(self, name):
         original = membership.membership_view.MembershipView
-        membership.membership_view.MembershipView = _ForgetfulRoster
+        membership.membership_view.MembershipView = _StaleView
         try:
             super().start_process(name)
         finally:
--- a/features/support/fuzz_register.py
+++ b/features/support/fuzz_register.py
@@ -1,8 +1,8 @@
-"""Fuzzing of the at-most-once register against a list of what was run.
+"""Fuzzing of the at-most-once register against a log of the executed calls.
 
-Three daemons compete on two keys. A rule is one step of a call: claim, send, record.
+Three daemons compete for two keys. A rule is one step of a call: claim, send, record.
 A daemon may die between any two rules, and any call to the store may fail in any way
-or be overtaken by a whole claim of another daemon.
+or be preceded by a whole claim of another daemon.
 """
 
 import itertools
@@ -23,11 +23,11 @@
 
 
 class Died(BaseException):
-    """The daemon ends at once."""
+    """The daemon dies during a call to the store."""
 
 
 class InterruptedStore:
-    """Passes calls on, after another daemon's action or the own death if planned."""
+    """Forwards calls, preceded by scripted actions such as a claim or a crash."""
 
     def __init__(self, table_store):
         self.inner = table_store
@@ -66,7 +66,7 @@
 
 
 class TrustingRegister(register.Register):
-    """Broken: takes a row that is absent when it looks as its own from then on."""
+    """Broken: treats a row that was absent at the first read as its own claim."""
 
     def claim(self, organisation, key, digest, now_ms, may_continue=lambda: True):
         row_key = f"{organisation}/{key}"
@@ -82,7 +82,7 @@
 
 
 class ForgivingRegister(register.Register):
-    """Broken: gives the key free after a call whose answer was lost."""
+    """Broken: releases the key after a call whose answer was lost."""
 
     frees_lost_calls = True
 
@@ -120,13 +120,13 @@
         outcome = self.registers[daemon].claim("org", key, digest, 0)
         if isinstance(outcome, result.Err):
             return
-        sight = outcome.ok_value
-        if isinstance(sight, register.Claim):
+        claim_result = outcome.ok_value
+        if isinstance(claim_result, register.Claim):
             assert not self.runs[key], f"{key} is claimed again after it ran"
-            self.calls.append(_Call(daemon, key, digest, sight))
-        elif isinstance(sight, register.Finished):
-            assert (digest, sight.outcome) in self.runs[key], "outcome of no run"
-        elif isinstance(sight, register.MayHaveRun):
+            self.calls.append(_Call(daemon, key, digest, claim_result))
+        elif isinstance(claim_result, register.Finished):
+            assert (digest, claim_result.outcome) in self.runs[key], "outcome of no run"
+        elif isinstance(claim_result, register.MayHaveRun):
             assert key not in self.stored, "a stored outcome is hidden"
 
     @stateful.rule(
@@ -139,7 +139,7 @@
         dies=st.booleans(),
     )
     def claim(self, daemon, key, digest, faults, delay_calls, at_call, dies):
-        """Claim, with a rival's claim or the own death before a call to the store."""
+        """Claim, interrupted at a store call by a competing claim or a crash."""
         type(self).steps_run += 1
         self.store.script(*faults, delay_calls=delay_calls)
 
@@ -196,9 +196,9 @@
             return
         self.calls.remove(call)
         self.store.script(*faults)
-        recording = self.registers[call.daemon].record(call.claim, call.outcome)
+        status = self.registers[call.daemon].record(call.claim, call.outcome)
         self._clear_script()
-        if recording is register.RecordStatus.STORED:
+        if status is register.RecordStatus.STORED:
             row = self.store.rows(register.TABLE)[call.claim.row_key]
             stored = row.value.get("outcome")
             assert stored == call.outcome, "the outcome is not stored"
@@ -232,14 +232,16 @@
             assert value["outcome"] == outcome, f"the outcome of {key} changed"
 
     def teardown(self):
-        """With a healthy store nothing waits for good."""
+        """With a healthy store no change stays pending."""
         if sys.exc_info()[0] is not None:
-            # A failed check must not be hidden by those that follow from it.
+            # Don't hide a failed check behind consequential failures.
             return
         self._clear_script()
         self.store.apply_delayed()
         for item in self.registers:
-            assert item.flush() == 0, "a change waits although the store is healthy"
+            assert (
+                item.flush() == 0
+            ), "a change is pending although the store is healthy"
 
     def _clear_script(self):
         self.store._script.clear()
--- a/features/support/fuzz_shares.py
+++ b/features/support/fuzz_shares.py
@@ -1,4 +1,4 @@
-"""Fuzzing of the division of a rate while needs change and messages are late."""
+"""Fuzzing of the division of a rate with changing needs and late messages."""
 
 import dataclasses
 
@@ -14,9 +14,9 @@
 
 
 class SharesMachine(stateful.RuleBasedStateMachine):
-    """Four daemons whose announcements come in any order within a time limit.
+    """Four daemons whose announcements arrive in any order within a time limit.
 
-    ``late_s`` is how much later than the settle time an announcement may come.
+    ``late_s`` is the delay beyond the propagation time that an announcement may have.
     """
 
     steps_run = 0
@@ -30,19 +30,19 @@
         self.needs = dict.fromkeys(_NAMES, 0.0)
         self.versions = 0
         self.daemons = {name: self.make(name) for name in _NAMES}
-        self.tell_members()
+        self.update_members()
 
     def make(self, name):
         self.versions += 1_000_000
         settings = self.settings
         return shares.ShareAllocator(name, settings, self.clock, self.versions)
 
-    def tell_members(self):
+    def update_members(self):
         for daemon in self.daemons.values():
             daemon.set_members(tuple(self.daemons), len(_NAMES))
 
     def step(self, duration_s=_STEP_S):
-        """Announce, let time pass and deliver what must not be later."""
+        """Announce, advance the clock and deliver the messages that are due."""
         for name, daemon in self.daemons.items():
             daemon.set_need(self.needs[name])
             for need in daemon.take_announcements(8):
@@ -64,7 +64,7 @@
             self.daemons[item[1]].receive(item[2])
 
     def check_sum(self):
-        """All may be unaware of each other for the time that messages are late."""
+        """Allow an excess while daemons are unaware of each other's late messages."""
         pool = _RATE * (1 - self.settings.floor_share)
         slack = len(_NAMES) * pool * self.late_s / self.settings.ramp_s
         found = [item.compute_share(_RATE) for item in self.daemons.values()]
@@ -94,21 +94,21 @@
 
     @stateful.rule(name=st.sampled_from(_NAMES))
     def die_or_restart(self, name):
-        """A daemon that is gone uses nothing; a restart knows nobody's need."""
+        """A dead daemon uses nothing; a restarted one knows no needs."""
         type(self).steps_run += 1
         if name not in self.daemons:
             self.daemons[name] = self.make(name)
         elif len(self.daemons) > 2:
             del self.daemons[name]
-        self.tell_members()
+        self.update_members()
         self.step()
 
     def teardown(self):
-        """At rest a lone daemon has nearly all, and needy ones have even parts."""
+        """When stable, a sole active daemon has nearly all; several have even parts."""
         names = sorted(self.daemons)
         self.needs = dict.fromkeys(_NAMES, 0.0)
         self.needs[names[0]] = 5000.0
-        # Forgetting a dead daemon's need takes longest.
+        # The expiry of a dead daemon's need takes longest.
         bound_s = 5 * self.settings.refresh_s + self.settings.ramp_s + 2
         for _ in range(int(bound_s / _STEP_S)):
             self.step()
@@ -123,14 +123,14 @@
 
 
 class LateSharesMachine(SharesMachine):
-    """Announcements come up to 1 s later than the settle time."""
+    """Announcements arrive up to 1 s after the propagation time."""
 
     steps_run = 0
     late_s = 1.0
 
 
 class HastyAllocator(shares.ShareAllocator):
-    """Counts its own increase at once."""
+    """Broken: applies an increase of its own need at once."""
 
     def compute_share(self, rate):
         self._history = type(self._history)([self._history[-1]])
--- a/features/support/pump.py
+++ b/features/support/pump.py
@@ -1,7 +1,7 @@
-"""Carries messages between failure detectors in simulated time.
+"""Simulated network between failure detectors, in simulated time.
 
-Delay, loss, pauses, deaths and cuts come from a seeded generator. The detectors are
-the real ones; only the network and the clock are replaced.
+Delays, loss, pauses, deaths and partitions come from a seeded generator. The detectors
+are the real ones; only the network and the clock are simulated.
 """
 
 import collections
@@ -29,7 +29,7 @@
     join_at_s: float = 0.0
 
 
-class Pump:
+class SimulatedNetwork:
     def __init__(self, seed, loss=0.0, pause_s=0.0, pause_share=0.0):
         self.clock = clock.ManualClock()
         self.random = random.Random(seed)
@@ -51,10 +51,10 @@
         return self.clock.monotonic_s()
 
     def add(self, name, zone, region, seeds=()):
-        place = members.Description(f"127.0.0.1:{len(self.nodes) + 1}", zone, region)
+        location = members.Description(f"127.0.0.1:{len(self.nodes) + 1}", zone, region)
         detector = membership.FailureDetector(
             name,
-            place,
+            location,
             probes.DetectorSettings(),
             self.clock,
             random.Random(self.random.random()),
@@ -72,7 +72,7 @@
             for update in known:
                 node.detector.report_member(update)
             node.detector.take_events()
-            # The introductions are old news by the time that the simulation begins.
+            # The introductions count as sent before the simulation begins.
             queue = node.detector._view.queue
             while queue.take(count, count):
                 pass
@@ -115,7 +115,7 @@
         ]
 
     def detection_s(self, name):
-        """Return how long each running member took to notice that one is dead."""
+        """Return each running member's detection time of a death, ``None`` without."""
         seen = {}
         for at_s, observer, dead in self.deaths:
             if dead == name and at_s >= self.killed_s[name]:
@@ -123,7 +123,7 @@
         return {observer: seen.get(observer) for observer in self.running()}
 
     def views(self):
-        """Return what each running member holds for not dead, by member."""
+        """Return the members that each running member considers not dead."""
         return {
             name: frozenset(
                 member.name
@@ -142,7 +142,7 @@
         node.backlog.clear()
         node.detector.tick()
         if len(node.detector.table) == 1 and node.join_at_s <= self.now_s:
-            # The cluster task repeats this too while it knows nobody.
+            # Like the cluster task, repeat the join until another member is known.
             node.join_at_s = self.now_s + JOIN_INTERVAL_S
             for seed in node.seeds:
                 node.detector.join(seed)
--- a/src/endivevane/coordination/__init__.py
+++ b/src/endivevane/coordination/__init__.py
@@ -1,19 +1,19 @@
-"""Coordination parts that work over a transactional table store.
+"""Coordination primitives over a transactional table store.
 
-The package imports nothing of the daemon and can be embedded in other programs. All
-parts are plain code over data: the clock, the store and the source of random numbers
-are passed in, and the caller carries the messages.
+The package imports nothing from the daemon and can be embedded in other programs. It
+performs no I/O of its own: the clock, the store and the random number generator are
+injected, and the caller transports the messages.
 
 - ``clock``, ``store``: interfaces to time and to the table store
-- ``lease``, ``fencing``: sessions, their observers, ownership with fencing numbers
-- ``membership``, with the messages of ``exchange``, the members of ``members`` and the
-  settings of ``probes``: failure detector
-- ``feed``: following a revision that never goes back
-- ``shares``: division of a rate by need
-- ``register``, ``retry``, ``admission``, ``deadlines``, ``rendezvous``: calls that run
-  at most once, retry budgets, admission, ordered queues, hashing
+- ``lease``, ``fencing``: sessions, their observers, ownership with fencing tokens
+- ``membership``, with ``gossip_messages``, ``members`` and the settings in ``probes``:
+  failure detector
+- ``feed``: following a configuration revision that only increases
+- ``shares``: max-min fair division of a rate
+- ``register``, ``retry``, ``admission``, ``deadlines``, ``rendezvous``: at-most-once
+  calls, retry budgets, admission control, fair queues, rendezvous hashing
 
-The other modules are parts of these.
+The other modules are internal.
 """
 
 __all__ = [
--- a/src/endivevane/coordination/admission.py
+++ b/src/endivevane/coordination/admission.py
@@ -1,4 +1,4 @@
-"""Estimates and limits that decide whether a request is taken on."""
+"""Adaptive concurrency limits and wait estimates for admission control."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """Bounds and pace of an adaptive concurrency limit.
+    """Bounds and smoothing of an adaptive concurrency limit.
 
-    :param tolerance: ratio of latency to its baseline that counts as no queueing
-    :param min_latency_s: latencies below this never count as queueing, because
+    :param tolerance: highest ratio of latency to baseline that indicates no queueing
+    :param min_latency_s: latencies below this never indicate queueing, because
         scheduling noise is of that size
     :param smoothing: weight of a new sample in the limit and the recent latency
     :param baseline_drift: weight of a slower sample in the baseline, so that the
-        baseline follows a lasting change such as longer prompts; at ten times the
-        value 300 samples of a lasting overload became the baseline
+        baseline follows a lasting change such as longer prompts; at ten times this
+        value, 300 samples of a sustained overload became the baseline
     """
 
     minimum: int = 1
@@ -30,9 +30,9 @@
     """Requests that this process may have in flight at one target.
 
     The limit follows the ratio of the baseline latency to the recent latency, so it
-    falls when the target queues work of any sender, also of processes unknown here.
+    falls when the target queues work from any sender, not only from this process.
 
-    :param maximum: upper bound and first value
+    :param maximum: upper bound and initial value
     :ivar limit: the current limit, at least the minimum
     """
 
@@ -45,15 +45,15 @@
         self.limit = maximum
 
     def set_maximum(self, maximum: int) -> None:
-        """Change the upper bound, for example after a change of slots."""
+        """Change the upper bound, for example when the target's slots change."""
         grows = maximum > self._maximum and self._limit >= self._maximum
         self._maximum = maximum
-        self._set(float(maximum) if grows else self._limit)
+        self._set_limit(float(maximum) if grows else self._limit)
 
     def record_latency(self, latency_s: float, in_flight: int) -> None:
-        """Adjust the limit by one measured latency.
+        """Adjust the limit to a measured latency.
 
-        :param in_flight: requests in flight when the measured one was sent
+        :param in_flight: requests in flight when the measured request was sent
         """
         settings = self._settings
         if latency_s < self._baseline_s:
@@ -64,26 +64,28 @@
         if self._recent_s == 0.0:
             self._recent_s = latency_s
         self._recent_s += settings.smoothing * (latency_s - self._recent_s)
-        calm_s = settings.tolerance * max(self._baseline_s, settings.min_latency_s)
-        gradient = min(1.0, max(0.5, calm_s / max(self._recent_s, 1e-9)))
+        queueing_threshold_s = settings.tolerance * max(
+            self._baseline_s, settings.min_latency_s
+        )
+        gradient = min(1.0, max(0.5, queueing_threshold_s / max(self._recent_s, 1e-9)))
         wanted = self._limit * gradient
         if gradient == 1.0 and in_flight * 2 >= self._limit:
             wanted += math.sqrt(self._limit)
-        self._set(self._limit + settings.smoothing * (wanted - self._limit))
+        self._set_limit(self._limit + settings.smoothing * (wanted - self._limit))
 
     def record_overload(self) -> None:
-        """Lower the limit after the target refused or timed out."""
-        self._set(self._limit * 0.8)
+        """Lower the limit after the target refused a request or timed out."""
+        self._set_limit(self._limit * 0.8)
 
-    def _set(self, value: float) -> None:
+    def _set_limit(self, value: float) -> None:
         self._limit = min(self._maximum, max(self._settings.minimum, value))
         self.limit = max(self._settings.minimum, int(self._limit))
 
 
 class ServiceTime:
-    """Moving average of how long requests occupy a target.
+    """Exponential moving average of the time that a request occupies a target.
 
-    :param initial_s: assumed before the first measurement
+    :param initial_s: estimate before the first measurement
     """
 
     def __init__(self, initial_s: float, smoothing: float = 0.1) -> None:
@@ -92,7 +94,7 @@
         self._has_sample = False
 
     def record(self, duration_s: float) -> None:
-        """Take one measured duration into the average."""
+        """Add a measured duration to the average."""
         if not self._has_sample:
             self._has_sample = True
             self.mean_s = duration_s
@@ -103,11 +105,11 @@
 def estimate_wait_s(
     queued_ahead: int, concurrency: int, service_time_s: float
 ) -> float:
-    """Return how long a request waits until it can be sent.
+    """Estimate how long a request waits in the queue.
 
-    :param queued_ahead: requests that go first
-    :param concurrency: requests that run together at all usable targets
-    :param service_time_s: mean time that a request occupies its place
+    :param queued_ahead: requests that are sent before it
+    :param concurrency: requests that all usable targets run concurrently
+    :param service_time_s: mean time that a request occupies its slot
     :returns: infinity when nothing can run
     """
     if concurrency <= 0:
--- a/src/endivevane/coordination/budget.py
+++ b/src/endivevane/coordination/budget.py
@@ -1,4 +1,4 @@
-"""A budget for messages that a failure detector sends beyond its regular probes."""
+"""Rate limit for messages that a failure detector sends beyond its regular probes."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 class MessageBudget:
     """Token bucket on a monotonic clock.
 
-    :param rate_per_s: messages a second in the long run
-    :param burst: messages at once after a quiet time
+    :param rate_per_s: refill rate in messages per second
+    :param burst: capacity of the bucket in messages
     :param now_s: current monotonic time
     """
 
@@ -18,7 +18,7 @@
         self._updated_s = now_s
 
     def take(self, count: int, now_s: float) -> bool:
-        """Take tokens if there are as many."""
+        """Take ``count`` tokens if that many are available."""
         passed_s = now_s - self._updated_s
         self._updated_s = now_s
         self._tokens = min(self._burst, self._tokens + passed_s * self._rate_per_s)
--- a/src/endivevane/coordination/clock.py
+++ b/src/endivevane/coordination/clock.py
@@ -1,4 +1,4 @@
-"""Clocks that are passed in, so that tests control time."""
+"""Injectable clocks, so that tests control time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to.
+    """A clock that advances only on request.
 
     :param start_s: first reading of the monotonic clock
     :param wall_ms: first reading of the wall clock
@@ -50,6 +50,6 @@
     def advance(self, duration_s: float) -> None:
         """Move both clocks forward.
 
-        :param duration_s: how far, zero or more
+        :param duration_s: zero or more
         """
         self._now_s += duration_s
--- a/src/endivevane/coordination/deadlines.py
+++ b/src/endivevane/coordination/deadlines.py
@@ -14,7 +14,7 @@
 
 
 class QueueFull(enum.StrEnum):
-    """Which bound a new entry would break."""
+    """The limit that a new entry would exceed."""
 
     ENTRIES = "entries"
     BYTES = "bytes"
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry(typing.Generic[ItemT]):
-    """Something that waits.
+    """A queued item.
 
-    :param priority: lower values go first
-    :param deadline_s: monotonic time after which the entry is useless
+    :param priority: lower values are dequeued first
+    :param deadline_s: monotonic time at which the entry expires
     """
 
     entry_id: str
@@ -41,8 +41,8 @@
     """Entries of one priority.
 
     :param turns: (virtual time, organisation) of organisations that have entries
-    :param times: virtual time by organisation; an organisation of twice the weight
-        ages half as much for each entry that it takes out
+    :param times: virtual time by organisation; at twice the weight it advances half
+        as much for each entry taken out
     """
 
     entries: dict[str, sortedcontainers.SortedDict] = dataclasses.field(
@@ -56,10 +56,10 @@
 
 
 class FairQueue(typing.Generic[ItemT]):
-    """Strict priorities; fair shares among organisations; earliest deadline first.
+    """Strict priorities; weighted fair queueing among organisations; EDF within each.
 
-    :param max_entries: bound on the number of entries
-    :param max_bytes: bound on the sum of their sizes
+    :param max_entries: limit on the number of entries
+    :param max_bytes: limit on the sum of their sizes
     """
 
     def __init__(self, max_entries: int, max_bytes: int) -> None:
@@ -79,11 +79,11 @@
         return entry_id in self._entries
 
     def set_weights(self, weights: dict[str, float]) -> None:
-        """Set the weights of organisations; others weigh 1."""
+        """Set the weights of organisations; the default weight is 1."""
         self._weights = dict(weights)
 
     def push(self, entry: Entry[ItemT]) -> QueueFull | None:
-        """Add an entry; return the bound that forbids it, if any."""
+        """Add an entry; return the limit that it would exceed, if any."""
         if len(self._entries) >= self.max_entries:
             return QueueFull.ENTRIES
         if self.size_bytes + entry.size_bytes > self.max_bytes:
@@ -98,7 +98,7 @@
         name = entry.organisation
         if name not in group.entries:
             group.entries[name] = sortedcontainers.SortedDict()
-            # An organisation that was idle has no claim on the time it missed.
+            # An organisation gets no credit for the time in which it was idle.
             start = max(group.virtual_time, group.times.get(name, 0.0))
             group.times[name] = start
             group.turns.add((start, name))
@@ -106,7 +106,7 @@
         return None
 
     def peek(self) -> Entry[ItemT] | None:
-        """Return the entry that ``pop`` would take out."""
+        """Return the entry that :meth:`pop` would remove."""
         for group in self._classes.values():
             entries = group.entries[group.turns[0][1]]
             entry: Entry[ItemT] = entries.peekitem(0)[1]
@@ -114,7 +114,7 @@
         return None
 
     def pop(self) -> Entry[ItemT] | None:
-        """Take out the next entry and charge its organisation."""
+        """Remove and return the next entry, charging its organisation."""
         entry = self.peek()
         if entry is None:
             return None
@@ -129,7 +129,7 @@
         return entry
 
     def remove(self, entry_id: str) -> Entry[ItemT] | None:
-        """Take out an entry by its id without charging its organisation."""
+        """Remove an entry by its id without charging its organisation."""
         found = self._entries.pop(entry_id, None)
         if found is None:
             return None
@@ -148,7 +148,7 @@
         return entry
 
     def pop_expired(self, now_s: float) -> list[Entry[ItemT]]:
-        """Take out the entries whose deadline has come."""
+        """Remove and return the entries whose deadline has passed."""
         expired: list[Entry[ItemT]] = []
         while self._by_deadline:
             (deadline_s, _), entry = self._by_deadline.peekitem(0)
--- a/src/endivevane/coordination/feed.py
+++ b/src/endivevane/coordination/feed.py
@@ -1,4 +1,4 @@
-"""Rules by which a daemon follows the configuration revision of the head."""
+"""Tracking of the configuration revision that a daemon has in force."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class ConfigurationFeed:
-    """Revision in force at this daemon, and whether it is known to be current.
+    """Revision in force at this daemon, and whether it is confirmed to be current.
 
-    A revision is known to be current when the table service returned a head that is
-    not higher, or, while the table service does not answer, when at least half of the
-    other listed daemons of the zone answered and none of them has a higher one. Only
-    answers of daemons that know their own revision to be current count. Once known, it
-    stays so while this process runs without a long pause: a partitioned daemon keeps
-    serving its last revision.
+    A revision is confirmed when the table service returns a head that is not higher.
+    While the table service does not answer, it is confirmed when at least half of the
+    other listed daemons of the zone answer and none has a higher one; only answers
+    from daemons whose own revision is confirmed count. The confirmation lasts while
+    this process runs without a long pause, so a partitioned daemon keeps serving its
+    last revision.
 
     :param zone: zone of this daemon
     :param feed_clock: only its monotonic part is used
-    :param longest_pause_s: a pause above this one asks for a new confirmation
+    :param longest_pause_s: a longer pause of the process revokes the confirmation
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._clock = feed_clock
         self._longest_pause_s = longest_pause_s
         self._last_call_s = feed_clock.monotonic_s()
-        self._listed: dict[str, str] = {}
+        self._peer_zones: dict[str, str] = {}
         self._answers: dict[str, int] = {}
         self._head_revision: int | None = None
         self._is_current = False
@@ -43,7 +43,7 @@
         self.known_revision = 0
 
     def check_pause(self) -> None:
-        """Withdraw what was known before a long pause; to be called often."""
+        """Revoke the confirmation after a long pause; must be called regularly."""
         now_s = self._clock.monotonic_s()
         pause_s = now_s - self._last_call_s
         self._last_call_s = now_s
@@ -53,16 +53,16 @@
             self._answers.clear()
 
     def is_current(self) -> bool:
-        """Tell whether the revision in force is known to be current."""
+        """Return whether the revision in force is confirmed to be current."""
         self.check_pause()
         return self._is_current
 
     def needs_fetch(self) -> bool:
-        """Tell whether a higher revision than the one in force is known."""
+        """Return whether a higher revision than the one in force is known."""
         return self.known_revision > self.applied_revision
 
     def learn_revision(self, revision: int) -> bool:
-        """Record that a revision exists; tell whether it is the highest so far."""
+        """Record that a revision exists; return whether it is the highest so far."""
         if revision <= self.known_revision:
             return False
         self.known_revision = revision
@@ -71,7 +71,7 @@
     def apply(self, revision: int) -> bool:
         """Put a revision into force if it is higher than the one in force.
 
-        :returns: whether the caller is to use the documents of this revision
+        :returns: whether the caller must apply the documents of this revision
         """
         if revision <= self.applied_revision:
             return False
@@ -84,8 +84,8 @@
         """Record the head that the table service returned.
 
         :param revision: 0 when there is no head yet
-        :param started_s: monotonic time before the read; a read that began before the
-            last pause says nothing about the time after it
+        :param started_s: monotonic time before the read; a read that took longer than
+            ``longest_pause_s`` is ignored, because the process may have paused since
         """
         self.check_pause()
         if self._clock.monotonic_s() - started_s > self._longest_pause_s:
@@ -95,21 +95,21 @@
         self._confirm()
 
     def set_peers(self, zones: abc.Mapping[str, str]) -> None:
-        """Set the other daemons that the platform or the peers list.
+        """Set the other daemons, as listed by the platform or by peers.
 
-        :param zones: zone by daemon name, without this daemon
+        :param zones: zone by daemon name, excluding this daemon
         """
-        self._listed = dict(zones)
+        self._peer_zones = dict(zones)
         self._confirm()
 
     def list_unanswered(self) -> list[str]:
-        """Return the daemons whose answer would count and is missing."""
-        return [name for name in self._list_asked() if name not in self._answers]
+        """Return the daemons whose answer counts and is still missing."""
+        return [name for name in self._list_asked_peers() if name not in self._answers]
 
     def record_answer(self, daemon: str, revision: int, is_current: bool) -> None:
-        """Record a peer's answer to the question for its revision.
+        """Record a peer's answer about its revision.
 
-        :param is_current: whether the peer knows its revision to be current
+        :param is_current: whether the peer's revision is confirmed to be current
         """
         self.check_pause()
         self.learn_revision(revision)
@@ -122,16 +122,18 @@
             if self.applied_revision >= self._head_revision:
                 self._is_current = True
             return
-        asked = self._list_asked()
+        asked = self._list_asked_peers()
         answers = [self._answers[name] for name in asked if name in self._answers]
         if not answers or 2 * len(answers) < len(asked):
             return
         if self.applied_revision >= max(self._answers.values()):
             self._is_current = True
 
-    def _list_asked(self) -> list[str]:
-        in_zone = [name for name, zone in self._listed.items() if zone == self._zone]
-        return in_zone or list(self._listed)
+    def _list_asked_peers(self) -> list[str]:
+        in_zone = [
+            name for name, zone in self._peer_zones.items() if zone == self._zone
+        ]
+        return in_zone or list(self._peer_zones)
 
 
 def compute_confirmation(
@@ -153,9 +155,9 @@
 def write_confirmation(
     table_store: store.TableStore, zone: str, revision: int, operation_id: str
 ) -> result.Result[int, store.StoreError]:
-    """Raise the confirmed revision of a zone; never lowers it.
+    """Raise the confirmed revision of a zone; never lower it.
 
-    :returns: the confirmed revision in the row
+    :returns: the confirmed revision in the stored row
     """
     key = ACKS_PREFIX + zone
     reading = table_store.read(TABLE, key)
--- a/src/endivevane/coordination/fencing.py
+++ b/src/endivevane/coordination/fencing.py
@@ -1,4 +1,4 @@
-"""Ownership of engine groups, with fencing numbers for orders."""
+"""Ownership of engine groups, with fencing tokens for orders."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ownership:
-    """A group of engines that this daemon owns.
+    """An engine group that this daemon owns.
 
     :param fencing_token: revision of the ``owners`` row, to be sent with each order
     :param epoch: session epoch under which the group was acquired
-    :param quiet_until_s: monotonic time before which engines that ignore fencing
-        numbers may still run an order of the previous owner
+    :param grace_until_s: monotonic time until which an engine that ignores fencing
+        tokens may still execute an order from the previous owner
     """
 
     group: str
     epoch: int
     fencing_token: int
-    quiet_until_s: float
+    grace_until_s: float
 
 
 def may_acquire(
     row: store.Row | None, daemon: str, epoch: int, observer: lease.SessionObserver
 ) -> bool:
-    """Tell whether a daemon may take a group.
+    """Return whether a daemon may acquire a group.
 
     :param row: the ``owners`` row of the group
     :param epoch: the daemon's own session epoch
@@ -51,11 +51,11 @@
     epoch: int,
     operation_id: str,
 ) -> result.Result[int, store.StoreError]:
-    """Write this daemon as the owner; blocks on the store.
+    """Write this daemon as the owner; block on the store.
 
-    :param row: the row that :func:`may_acquire` was asked about
+    :param row: the row that was passed to :func:`may_acquire`
     :param epoch: the daemon's own session epoch, valid when the call is made
-    :returns: the fencing number
+    :returns: the fencing token
     """
     value = {"owner": daemon, "owner_epoch": epoch}
     return store.transact_with_readback(
@@ -66,13 +66,13 @@
     )
 
 
-class GroupFences:
-    """Groups that this daemon owns, and which orders it may send.
+class OwnedGroups:
+    """Groups that this daemon owns, and whether it may send orders to them.
 
-    :param session: this daemon's session; a lapse ends every ownership
+    :param session: this daemon's session; its expiry ends every ownership
     :param longest_term_s: longest session term in the cluster
-    :param longest_order_s: how long an order may take at an engine
-    :param fence_clock: only its monotonic part is used
+    :param longest_order_s: longest time that an engine takes to execute an order
+    :param groups_clock: only its monotonic part is used
     """
 
     def __init__(
@@ -80,42 +80,42 @@
         session: lease.SessionLease,
         longest_term_s: float,
         longest_order_s: float,
-        fence_clock: clock.Clock,
+        groups_clock: clock.Clock,
     ) -> None:
         self._session = session
-        self._quiet_s = longest_term_s + longest_order_s
-        self._clock = fence_clock
+        self._grace_s = longest_term_s + longest_order_s
+        self._clock = groups_clock
         self._owned: dict[str, Ownership] = {}
 
-    def record_acquired(self, group: str, epoch: int, fencing_number: int) -> None:
+    def record_acquired(self, group: str, epoch: int, fencing_token: int) -> None:
         """Record a successful :func:`acquire`.
 
-        :param epoch: the epoch that was written
+        :param epoch: the epoch in the written row
         """
-        quiet_until_s = self._clock.monotonic_s() + self._quiet_s
+        grace_until_s = self._clock.monotonic_s() + self._grace_s
         known = self._owned.get(group)
-        if known is not None and known.fencing_token >= fencing_number:
+        if known is not None and known.fencing_token >= fencing_token:
             return
-        self._owned[group] = Ownership(group, epoch, fencing_number, quiet_until_s)
+        self._owned[group] = Ownership(group, epoch, fencing_token, grace_until_s)
 
     def record_lost(self, group: str) -> None:
-        """Forget a group that another daemon has taken or an engine has refused."""
+        """Drop a group after an engine has shown a higher token or refused ours."""
         self._owned.pop(group, None)
 
     def find(self, group: str) -> Ownership | None:
-        """Return the ownership of a group if the session still covers it."""
+        """Return the ownership of a group if its session epoch is still valid."""
         owned = self._owned.get(group)
         if owned is None or owned.epoch != self._session.epoch:
             return None
         return owned
 
     def may_send_order(self, group: str, is_fencing_checked: bool) -> bool:
-        """Tell whether an order may be sent now.
+        """Return whether an order may be sent now.
 
-        :param is_fencing_checked: whether the engine refuses old fencing numbers; one
-            that does not is left alone until no earlier owner can act on it
+        :param is_fencing_checked: whether the engine refuses old fencing tokens; one
+            that does not gets no order until those of earlier owners have expired
         """
         owned = self.find(group)
         if owned is None:
             return False
-        return is_fencing_checked or self._clock.monotonic_s() >= owned.quiet_until_s
+        return is_fencing_checked or self._clock.monotonic_s() >= owned.grace_until_s
--- a/src/endivevane/coordination/gossip.py
+++ b/src/endivevane/coordination/gossip.py
@@ -1,4 +1,4 @@
-"""Updates that wait to be piggybacked on messages."""
+"""Queue of membership updates to piggyback on messages."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class UpdateQueue:
-    """Newest update per member, each handed out a bounded number of times.
+    """Newest update per member, each transmitted a bounded number of times.
 
-    Updates that were never sent go first, in order of arrival; the others take turns.
+    Updates that were never sent go first, in FIFO order; the others rotate.
 
     :param multiplier: transmissions of an update per binary digit of the cluster size
-    :param max_entries: updates that may wait; the oldest sent one is dropped first
+    :param max_entries: capacity; the oldest sent update is dropped first
     """
 
     def __init__(self, multiplier: int = 3, max_entries: int = 1024) -> None:
@@ -34,11 +34,11 @@
         return len(self._fresh) + len(self._sent)
 
     def has_fresh(self) -> bool:
-        """Tell whether an update has never been sent."""
+        """Return whether any update has never been sent."""
         return bool(self._fresh)
 
     def put(self, update: members.Update) -> None:
-        """Queue an update in place of an earlier one about the same member."""
+        """Queue an update, replacing an earlier one about the same member."""
         self._fresh.pop(update.name, None)
         self._sent.pop(update.name, None)
         self._fresh[update.name] = _Entry(update)
@@ -50,9 +50,9 @@
     ) -> tuple[members.Update, ...]:
         """Return the next updates and count them as sent.
 
-        :param count: how many at most
+        :param count: maximum number of updates
         :param cluster_size: number of members, for the bound on transmissions
-        :param copies: to how many members they are sent
+        :param copies: number of members that they are sent to
         """
         if not self._fresh and not self._sent:
             return ()
--- a/src/endivevane/coordination/gossip_messages.py
+++ b/src/endivevane/coordination/gossip_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the failure detector, as data."""
+"""Messages of the failure detector."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Header:
-    """What every message between members carries.
+    """Header of every message between members.
 
-    :param known_revision: highest configuration revision heard of
+    :param known_revision: highest configuration revision that the sender knows of
     :param applied_revision: configuration revision in force at the sender
-    :param updates: piggybacked reports
+    :param updates: piggybacked membership updates
     """
 
     sender: str
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks the receiver to answer."""
+    """Direct probe, which the receiver answers with an :class:`Ack`."""
 
     header: Header
     sequence: int
@@ -50,14 +50,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Gossip:
-    """Carries updates that should not wait for the next probe."""
+    """Updates that should not wait for the next probe."""
 
     header: Header
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """Asks for the whole table if it differs.
+    """Asks for the receiver's whole table if its digest differs.
 
     :param digest: digest of the sender's table
     """
@@ -68,9 +68,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SyncRows:
-    """The sender's whole table, in the header's updates.
+    """The sender's whole table, carried in the updates of the header.
 
-    :param is_answer_wanted: whether the sender wants the receiver's table
+    :param is_answer_wanted: whether the receiver should answer with its own table
     """
 
     header: Header
--- a/src/endivevane/coordination/lease.py
+++ b/src/endivevane/coordination/lease.py
@@ -1,4 +1,4 @@
-"""Session leases: the holder's side and the observer's side."""
+"""Session leases, as seen by the holder and by observers."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 TABLE = "sessions"
 EPOCH_FIELD = "epoch"
 TERM_FIELD = "term_s"
-_MAX_ASKED = 4096
+_MAX_TRACKED_EPOCHS = 4096
 
 
 class Action(enum.Enum):
-    """What a daemon may want to do while it can't renew its session."""
+    """An action that may depend on the session lease or on the store."""
 
     SERVE_ONLINE = "serve_online"
     RUN_CLAIMED_ITEM = "run_claimed_item"
@@ -37,12 +37,12 @@
 
 
 def is_allowed(action: Action, is_lease_valid: bool, is_store_answering: bool) -> bool:
-    """Tell whether a daemon may do something.
+    """Return whether a daemon may perform an action.
 
-    A commit is always allowed because its own conditions decide; an order to an engine
-    has no such conditions and needs the lease.
+    A commit is always allowed, because its own conditions protect it. An order to an
+    engine has no such conditions, so it needs the lease.
 
-    :param is_lease_valid: whether the session's term still runs
+    :param is_lease_valid: whether the session's term has not expired
     :param is_store_answering: whether the last call to the table service succeeded
     """
     if action in _ALWAYS_ALLOWED:
@@ -54,9 +54,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One try to acquire or renew a session, to be run by :func:`run_attempt`.
+    """An attempt to acquire or renew a session, to be run by :func:`run_attempt`.
 
-    :param sent_s: monotonic time before the try; the term counts from here
+    :param sent_s: monotonic time before the attempt; the term starts here
     :param epoch: epoch to renew; ``None`` asks for a new one
     :param row_revision: row revision to replace; ``None`` when it must be read first
     :param least_epoch: lower bound for a new epoch
@@ -81,15 +81,16 @@
 
 
 class SessionLease:
-    """The session of this daemon, as its holder sees it.
+    """The session of this daemon, on the holder's side.
 
-    An epoch that has lapsed is never used again: work that was claimed under it may
-    have been taken over. The lease decides on its own monotonic clock, and counts the
-    term from before the renewal was sent, so it ends before any observer ends it.
+    An expired epoch is never used again, because work that was claimed under it may
+    have been taken over. The holder uses its own monotonic clock and counts the term
+    from before the renewal was sent, so its lease expires before any observer
+    considers it expired.
 
     :param daemon: name of this daemon
-    :param fields: what the row says besides epoch and term
-    :param term_s: how long a renewal lasts
+    :param fields: other fields of the row besides epoch and term
+    :param term_s: duration of the lease after a renewal
     :param lease_clock: the wall clock only raises the lower bound of new epochs
     """
 
@@ -112,26 +113,26 @@
 
     @property
     def epoch(self) -> int | None:
-        """The epoch in force, or ``None`` when the session has lapsed."""
-        self._drop_lapsed()
+        """The epoch in force, or ``None`` when the session has expired."""
+        self._drop_expired()
         return self._epoch
 
     def is_valid(self) -> bool:
-        """Tell whether the term still runs."""
+        """Return whether the term has not expired."""
         return self.epoch is not None
 
     def compute_remaining_s(self) -> float:
-        """Return the rest of the term, 0 after a lapse."""
+        """Return the time left in the term, 0 after its expiry."""
         if not self.is_valid():
             return 0.0
         return self._expires_s - self._clock.monotonic_s()
 
     def start_attempt(self) -> Attempt:
-        """Return the next try to renew or acquire the session."""
-        self._drop_lapsed()
+        """Start the next attempt to renew or acquire the session."""
+        self._drop_expired()
         self._attempts += 1
-        # Rows are deleted on a planned stop, which also deletes the last epoch; the
-        # wall clock keeps a restarted daemon from repeating one.
+        # A planned stop deletes the row and with it the last epoch; the wall clock
+        # keeps a restarted daemon from reusing an epoch.
         least_epoch = max(self._last_epoch + 1, self._clock.wall_ms())
         return Attempt(
             operation_id=f"session-{self._daemon}-{least_epoch}-{self._attempts}",
@@ -145,7 +146,7 @@
 
     def record(self, outcome: result.Result[Renewed, store.StoreError]) -> None:
         """Apply the outcome of an attempt."""
-        self._drop_lapsed()
+        self._drop_expired()
         if isinstance(outcome, result.Err):
             self._row_revision = None
             if isinstance(outcome.err_value, store.StoreConflict):
@@ -164,7 +165,7 @@
         self._epoch = renewed.epoch
         self._expires_s = max(self._expires_s, expires_s)
 
-    def _drop_lapsed(self) -> None:
+    def _drop_expired(self) -> None:
         if self._epoch is not None and self._clock.monotonic_s() >= self._expires_s:
             self._drop_epoch()
 
@@ -175,10 +176,10 @@
 def run_attempt(
     table_store: store.TableStore, attempt: Attempt
 ) -> result.Result[Renewed, store.StoreError]:
-    """Renew or acquire a session by a conditional write; blocks on the store.
+    """Renew or acquire a session by a conditional write; block on the store.
 
     A renewal whose row carries another epoch is a conflict: another process with this
-    name has taken the session.
+    name holds the session.
     """
     revision = attempt.row_revision
     epoch = attempt.epoch
@@ -207,8 +208,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Sighting:
-    """What reads of a session row have shown.
+class _Observation:
+    """The latest revision of a session row and when it was read.
 
     :param row: the row; ``None`` when it was absent
     :param first_s: end of the first read that returned this revision
@@ -221,14 +222,14 @@
 
 
 class SessionObserver:
-    """Decides on its own clock which sessions have lapsed.
+    """Decides on its own clock which sessions have expired.
 
-    A session has lapsed when two reads returned the same row revision and more than
-    the term and a margin lies between the end of the first and the start of the last.
-    Time in which this process did not read proves nothing.
+    A session has expired when two reads returned the same row revision and more than
+    the term plus a margin lies between the end of the first and the start of the last.
+    Time in which this process did not read is no evidence.
 
-    :param margin_s: allowance for clocks that run at different rates
-    :param observer_clock: the clock of the times that :meth:`observe` gets
+    :param margin_s: allowance for clock drift
+    :param observer_clock: the clock of the times that are passed to :meth:`observe`
     """
 
     def __init__(
@@ -236,63 +237,65 @@
     ) -> None:
         self._margin_s = margin_s
         self._clock = observer_clock or clock.SystemClock()
-        self._sightings: dict[str, _Sighting] = {}
-        self._asked: collections.OrderedDict[tuple[str, int], float]
-        self._asked = collections.OrderedDict()
+        self._observations: dict[str, _Observation] = {}
+        self._first_asked_s: collections.OrderedDict[tuple[str, int], float]
+        self._first_asked_s = collections.OrderedDict()
 
     def observe(
         self, daemon: str, row: store.Row | None, started_s: float, finished_s: float
     ) -> None:
         """Record one read of a session row.
 
-        :param row: the row, ``None`` when it is absent; one without epoch and term
-            proves nothing
+        :param row: the row, ``None`` when it is absent; one without epoch and term is
+            ignored
         :param started_s: monotonic time before the read
         :param finished_s: monotonic time after the read
         """
         if row is not None and not _is_session(row):
             return
-        known = self._sightings.get(daemon)
+        known = self._observations.get(daemon)
         if known is not None and _is_same_revision(known.row, row):
             last_s = max(known.last_s, started_s)
-            self._sightings[daemon] = dataclasses.replace(known, last_s=last_s)
+            self._observations[daemon] = dataclasses.replace(known, last_s=last_s)
             return
         if known is not None and started_s < known.last_s:
             return
-        self._sightings[daemon] = _Sighting(row, finished_s, started_s)
+        self._observations[daemon] = _Observation(row, finished_s, started_s)
 
     def is_expired(self, daemon: str, epoch: int) -> bool:
-        """Tell whether an epoch of a daemon is certainly over.
+        """Return whether an epoch of a daemon has certainly expired.
 
-        An absent row and another epoch in the row are certain when they were read
-        after the first question for this epoch: an earlier read may have come before
-        the epoch began.
+        An absent row or another epoch in the row is proof only if it was read after
+        the first call for this epoch: an earlier read may precede the epoch.
         """
-        asked_s = self._asked.setdefault((daemon, epoch), self._clock.monotonic_s())
-        if len(self._asked) > _MAX_ASKED:
-            self._asked.popitem(last=False)
-        sighting = self._sightings.get(daemon)
-        if sighting is None:
+        asked_s = self._first_asked_s.setdefault(
+            (daemon, epoch), self._clock.monotonic_s()
+        )
+        if len(self._first_asked_s) > _MAX_TRACKED_EPOCHS:
+            self._first_asked_s.popitem(last=False)
+        observation = self._observations.get(daemon)
+        if observation is None:
             return False
-        if sighting.row is None or int(sighting.row.value[EPOCH_FIELD]) != epoch:
-            return sighting.last_s > asked_s
-        return self._is_unchanged(sighting.row, sighting)
+        if observation.row is None or int(observation.row.value[EPOCH_FIELD]) != epoch:
+            return observation.last_s > asked_s
+        return self._is_unchanged(observation.row, observation)
 
     def list_expired(self) -> list[str]:
-        """Return daemons whose row is present but unchanged for too long."""
+        """Return the daemons whose row is present but was not renewed in time."""
         return [
             daemon
-            for daemon, sighting in self._sightings.items()
-            if sighting.row is not None and self._is_unchanged(sighting.row, sighting)
+            for daemon, observation in self._observations.items()
+            if observation.row is not None
+            and self._is_unchanged(observation.row, observation)
         ]
 
     def forget(self, daemon: str) -> None:
-        """Forget a daemon that nobody asks about any more."""
-        self._sightings.pop(daemon, None)
+        """Discard what was observed of a daemon."""
+        self._observations.pop(daemon, None)
 
-    def _is_unchanged(self, row: store.Row, sighting: _Sighting) -> bool:
+    def _is_unchanged(self, row: store.Row, observation: _Observation) -> bool:
         term_s = float(row.value[TERM_FIELD])
-        return sighting.last_s - sighting.first_s > term_s + self._margin_s
+        return observation.last_s - observation.first_s > term_s + self._margin_s
 
 
 def _is_session(row: store.Row) -> bool:
--- a/src/endivevane/coordination/members.py
+++ b/src/endivevane/coordination/members.py
@@ -1,4 +1,4 @@
-"""Members of the cluster and the rules by which reports about them are merged."""
+"""Members of the cluster and the precedence rules for updates about them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """State of a member; for one incarnation the higher value wins."""
+    """State of a member; within one incarnation the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Description:
-    """Where a member runs and how it is reached.
+    """Location and address of a member.
 
     :param address: ``host:port`` for messages between daemons
     :param public_key: CURVE key in Z85 text; empty for plain connections
@@ -35,9 +35,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """A member as this process knows it.
+    """A member as this process sees it.
 
-    :param since_s: monotonic time at which the state was set here
+    :param since_s: local monotonic time at which the state was set
     """
 
     name: str
@@ -49,9 +49,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Update:
-    """A report about a member.
+    """A membership update.
 
-    :param description: present in reports that may introduce the member
+    :param description: present in updates that may introduce the member
     """
 
     name: str
@@ -61,21 +61,21 @@
 
 
 def supersedes(update: Update, member: Member) -> bool:
-    """Tell whether a report is newer than what is known."""
+    """Return whether an update supersedes the known state of a member."""
     if update.incarnation != member.incarnation:
         return update.incarnation > member.incarnation
     return update.state > member.state
 
 
 def make_update(member: Member, with_description: bool = True) -> Update:
-    """Return a report that repeats what is known of a member."""
+    """Return an update with the known state of a member."""
     description = member.description if with_description else None
     return Update(member.name, member.incarnation, member.state, description)
 
 
 @functools.lru_cache(maxsize=8192)
 def rank_name(name: str, salt: str) -> int:
-    """Return the position of a name in the hash order that the salt selects."""
+    """Return the position of a name in the hash order selected by the salt."""
     return int.from_bytes(_hash_text(f"{salt}:{name}"), "big")
 
 
@@ -86,11 +86,11 @@
 class MemberTable:
     """All known members, with hash rings over those of one region.
 
-    Each ring is another hash order. A member watches its successor in each ring, so
-    that every member has as many watchers as there are rings, and the union of the
-    rings is a random graph whose diameter grows with the logarithm of its size.
+    Each ring is a different hash order. A member watches its successor in each ring,
+    so every member has as many watchers as there are rings, and the union of the rings
+    is a random graph whose diameter grows with the logarithm of its size.
 
-    :param region: region whose members form the rings
+    :param region: region whose members are in the rings
     :param rings: number of rings
     """
 
@@ -116,21 +116,21 @@
         """Add or replace a member."""
         before = self._members.get(member.name)
         self._members[member.name] = member
-        self._forget_derived()
-        was_ringed = before is not None and self._is_ringed(before)
-        if self._is_ringed(member) == was_ringed:
+        self._clear_caches()
+        was_in_rings = before is not None and self._is_in_rings(before)
+        if self._is_in_rings(member) == was_in_rings:
             return
-        self._change_rings(member.name, not was_ringed)
+        self._update_rings(member.name, not was_in_rings)
 
     def remove(self, name: str) -> None:
-        """Forget a member."""
+        """Remove a member."""
         member = self._members.pop(name, None)
-        self._forget_derived()
-        if member is not None and self._is_ringed(member):
-            self._change_rings(name, False)
+        self._clear_caches()
+        if member is not None and self._is_in_rings(member):
+            self._update_rings(name, False)
 
     def walk_ring(self, ring: int, name: str) -> abc.Iterator[str]:
-        """Yield the names after a name in a ring, once around."""
+        """Yield the successors of a name in ring order, once around."""
         order = self._rings[ring]
         if not order:
             return
@@ -142,7 +142,7 @@
             yield other
 
     def list_zone(self, zone: str) -> list[str]:
-        """Return names of the zone's live members in gateway order."""
+        """Return the names of the zone's live members in gateway order."""
         names = self._zones.get(zone)
         if names is None:
             names = [
@@ -156,7 +156,7 @@
         return names
 
     def map_zones(self) -> abc.Mapping[str, str]:
-        """Return the region of each zone that has a member which is not dead."""
+        """Return the region of each zone with at least one member that is not dead."""
         if not self._zone_regions:
             self._zone_regions = {
                 member.description.zone: member.description.region
@@ -166,9 +166,9 @@
         return self._zone_regions
 
     def compute_digest(self) -> int:
-        """Return a number that is equal when two tables agree on who is there.
+        """Return a digest of the members that are not dead.
 
-        Suspicion is left out, since it is temporary and differs between members.
+        Suspicion is not part of it, since it is temporary and differs between members.
         """
         if self._digest is not None:
             return self._digest
@@ -182,19 +182,19 @@
         self._digest = digest
         return digest
 
-    def _forget_derived(self) -> None:
-        """Drop what was computed from the members, after a change."""
+    def _clear_caches(self) -> None:
+        """Discard the values derived from the members, after a change."""
         self._zones.clear()
         self._zone_regions = {}
         self._digest = None
 
-    def _is_ringed(self, member: Member) -> bool:
+    def _is_in_rings(self, member: Member) -> bool:
         return (
             member.state is not MemberState.DEAD
             and member.description.region == self._region
         )
 
-    def _change_rings(self, name: str, is_added: bool) -> None:
+    def _update_rings(self, name: str, is_added: bool) -> None:
         for ring, order in enumerate(self._rings):
             entry = (rank_name(name, str(ring)), name)
             if is_added:
--- a/src/endivevane/coordination/membership.py
+++ b/src/endivevane/coordination/membership.py
@@ -1,4 +1,4 @@
-"""Failure detector in the manner of SWIM, as plain code over messages and a clock."""
+"""SWIM-style failure detector without I/O of its own."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 )
 
 _REPAIR_PUSHES = 3
-# Whole tables are the largest messages. Without a limit, 100 members on an overloaded
-# machine sent 80 KB/s each.
+# Whole tables are the largest messages. Without a rate limit, 100 members on an
+# overloaded machine sent 80 KB/s each.
 _ROWS_PER_S = 2.0
 _ROWS_BURST = 10.0
 # Suspicion causes messages, and on an overloaded machine messages cause suspicion. Both
-# budgets bound that circle; the bursts cover the loss of half of 340 members at once.
+# budgets bound this loop; the bursts cover the loss of half of 340 members at once.
 _PUSHES_PER_S = 6.0
 _PUSHES_BURST = 240.0
 _CHECKS_PER_S = 3.0
 _CHECKS_BURST = 60.0
 _SYNC_MESSAGES = (gossip_messages.SyncRequest, gossip_messages.SyncRows)
-_ACCUSED = (members.MemberState.SUSPECT, members.MemberState.DEAD)
+_SUSPECT_OR_DEAD = (members.MemberState.SUSPECT, members.MemberState.DEAD)
 
 
 class FailureDetector:
-    """Membership state of one daemon.
+    """Failure detector and membership view of one daemon.
 
     The caller passes received messages to :meth:`handle`, calls :meth:`tick` at least
-    every ``max_tick_gap_s`` after it has passed on everything that was received, and
-    then sends what :meth:`take_outgoing` returns.
+    every ``max_tick_gap_s`` after all received messages have been handled, and then
+    sends what :meth:`take_outgoing` returns.
 
     :param name: name of this daemon
-    :param description: how others reach it
+    :param description: location and address of this daemon
     :param settings: times and bounds
     :param detector_clock: only its monotonic part is used
     :param generator: source of all random choices
@@ -58,17 +58,18 @@
         self._clock = detector_clock
         self._random = generator
         now_s = detector_clock.monotonic_s()
-        # Reports about an earlier process of this name carry a lower incarnation. The
-        # wall clock need not be right: a higher report is answered with a higher one.
+        # Updates about an earlier process of this name carry a lower incarnation. The
+        # wall clock need not be accurate: an update with a higher incarnation is
+        # refuted with one that is higher still.
         incarnation = max(0, detector_clock.wall_ms() // 1000)
         me = members.Member(
             name, incarnation, members.MemberState.ALIVE, description, now_s
         )
         self._view = membership_view.MembershipView(me, settings)
-        self._book = probes.ProbeRegistry(settings)
-        self._links = links.LinkChooser(self._view, self._book, settings, generator)
+        self._probes = probes.ProbeRegistry(settings)
+        self._links = links.PeerSelector(self._view, self._probes, settings, generator)
         self._outgoing: list[gossip_messages.Outgoing] = []
-        self._broken: list[str] = []
+        self._reconnects: list[str] = []
         self._has_new_revision = False
         self._last_call_s = now_s
         self._push_at_s = now_s
@@ -92,7 +93,7 @@
 
     @property
     def table(self) -> members.MemberTable:
-        """All members; not to be changed by the caller."""
+        """All members; the caller must not modify it."""
         return self._view.table
 
     def find_gateway(self, zone: str) -> str | None:
@@ -100,7 +101,7 @@
         return self._links.find_gateway(zone)
 
     def is_gateway(self) -> bool:
-        """Tell whether this daemon acts for its own zone."""
+        """Return whether this daemon is the gateway of its zone."""
         return self._links.is_gateway()
 
     def list_links(self) -> list[str]:
@@ -108,7 +109,7 @@
         return self._links.list_links(self._last_call_s)
 
     def was_region_seen(self, region: str) -> bool:
-        """Tell whether a member of a region has sent something lately."""
+        """Return whether a message from a member of a region arrived recently."""
         return self._links.was_region_seen(region, self._last_call_s)
 
     def take_outgoing(self) -> list[gossip_messages.Outgoing]:
@@ -121,9 +122,9 @@
         return self._view.take_events()
 
     def take_reconnects(self) -> list[str]:
-        """Return members whose connection should be opened anew."""
-        broken, self._broken = self._broken, []
-        return broken
+        """Return members whose connection should be reopened."""
+        reconnects, self._reconnects = self._reconnects, []
+        return reconnects
 
     def leave(self) -> None:
         """Announce that this daemon is about to stop."""
@@ -134,56 +135,56 @@
         self._view.report(name, members.MemberState.LEAVING, self._last_call_s)
 
     def report_session_expired(self, name: str) -> None:
-        """Record that the session of a member that can't be heard has lapsed."""
+        """Record that the session of an unresponsive member has expired."""
         self._view.report(name, members.MemberState.DEAD, self._last_call_s)
 
     def report_member(self, update: members.Update) -> None:
-        """Add a member that another source names, if it is unknown or older here."""
+        """Apply an update from another source, if it is newer than what is known."""
         self._view.merge([update], self._last_call_s)
 
     def learn_revision(self, revision: int) -> None:
-        """Record a configuration revision and pass it on if it is new."""
+        """Record a configuration revision and disseminate it if it is new."""
         if revision <= self.known_revision:
             return
         self.known_revision = revision
         self._has_new_revision = True
 
     def set_applied(self, revision: int) -> None:
-        """Record the revision in force here."""
+        """Record the configuration revision in force at this daemon."""
         self.applied_revision = revision
         self.learn_revision(revision)
 
     def join(self, receiver: str) -> None:
-        """Ask a member, known or not, for its table."""
+        """Request the table of a member, which need not be known yet."""
         self._send_sync_request(receiver)
 
     def handle(self, message: gossip_messages.Message) -> None:
-        """Process one received message."""
+        """Handle one received message."""
         self._detect_pause()
         header = message.header
         if header.sender == self.me.name:
             return
-        self._links.record_heard(header.sender, self._last_call_s)
+        self._links.record_seen(header.sender, self._last_call_s)
         self.learn_revision(header.known_revision)
         self._view.merge(header.updates, self._last_call_s)
-        self._react(message)
+        self._handle_body(message)
         sender = self.table.get(header.sender)
         if sender is None:
             if not isinstance(message, _SYNC_MESSAGES):
                 self._send_sync_request(header.sender)
         elif sender.state is not members.MemberState.LEAVING:
-            # A sender that has refuted something is heard even if its update was lost.
+            # The header's incarnation refutes a suspicion even if the update was lost.
             update = members.Update(
                 sender.name, header.incarnation, members.MemberState.ALIVE
             )
             self._view.merge([update], self._last_call_s)
 
     @functools.singledispatchmethod
-    def _react(self, message: gossip_messages.Message) -> None:
-        """Do what a message asks for beyond its header."""
+    def _handle_body(self, message: gossip_messages.Message) -> None:
+        """Handle the body of a message."""
 
-    @_react.register
-    def _react_to_ping(self, message: gossip_messages.Ping) -> None:
+    @_handle_body.register
+    def _handle_ping(self, message: gossip_messages.Ping) -> None:
         header = message.header
         reply = self._make_header(header.sender)
         if any(update.name == self.me.name for update in header.updates):
@@ -191,34 +192,34 @@
             reply = dataclasses.replace(reply, updates=(own, *reply.updates))
         self._send(header.sender, gossip_messages.Ack(reply, message.sequence))
 
-    @_react.register
-    def _react_to_ack(self, message: gossip_messages.Ack) -> None:
-        relay = self._book.finish_relay(message.sequence)
+    @_handle_body.register
+    def _handle_ack(self, message: gossip_messages.Ack) -> None:
+        relay = self._probes.finish_relay(message.sequence)
         if relay is not None:
             header = self._make_header(relay.origin)
             self._send(relay.origin, gossip_messages.Ack(header, relay.sequence))
             return
-        name = self._book.resolve(message.sequence, self._last_call_s)
+        name = self._probes.resolve(message.sequence, self._last_call_s)
         if name is not None:
-            self._view.clear_unannounced(name)
+            self._view.clear_leaving_suspicion(name)
 
-    @_react.register
-    def _react_to_request(self, message: gossip_messages.ProbeRequest) -> None:
+    @_handle_body.register
+    def _handle_probe_request(self, message: gossip_messages.ProbeRequest) -> None:
         if self.table.get(message.target) is None:
             return
         origin = message.header.sender
-        number = self._book.start_relay(origin, message.sequence, self._last_call_s)
+        number = self._probes.start_relay(origin, message.sequence, self._last_call_s)
         if number is not None:
             self._send_ping(message.target, number)
 
-    @_react.register
-    def _react_to_sync(self, message: gossip_messages.SyncRequest) -> None:
+    @_handle_body.register
+    def _handle_sync_request(self, message: gossip_messages.SyncRequest) -> None:
         is_different = message.digest != self.table.compute_digest()
         if is_different and self._rows_budget.take(1, self._last_call_s):
             self._send_rows(message.header.sender, is_answer_wanted=True)
 
-    @_react.register
-    def _react_to_rows(self, message: gossip_messages.SyncRows) -> None:
+    @_handle_body.register
+    def _handle_sync_rows(self, message: gossip_messages.SyncRows) -> None:
         if message.is_answer_wanted and self._rows_budget.take(1, self._last_call_s):
             self._send_rows(message.header.sender, is_answer_wanted=False)
 
@@ -233,9 +234,9 @@
                 continue
             interval_s = self._jitter(self._settings.probe_interval_s)
             self._ring_at_s[ring] = now_s + interval_s
-            names = self._links.list_targets(ring)
+            names = self._links.list_probe_targets(ring)
             if ring == 0:
-                names += self._meet_contacts()
+                names += self._sync_new_contacts()
             for name in names:
                 self._start_probe(name)
         if self._sync_at_s <= now_s:
@@ -248,38 +249,38 @@
         self._push(now_s)
 
     def _detect_pause(self) -> None:
-        """Extend all own timers by the time in which this process was not running."""
+        """Extend all timers by the time in which this process was not running."""
         now_s = self._clock.monotonic_s()
         pause_s = now_s - self._last_call_s - self._settings.max_tick_gap_s
         self._last_call_s = now_s
         if pause_s > 0:
-            self._book.extend(pause_s)
+            self._probes.extend(pause_s)
             self._view.extend(pause_s)
 
     # Probes
 
     def _expire_probes(self, now_s: float) -> None:
-        for name in self._book.list_expired(now_s):
+        for name in self._probes.list_expired(now_s):
             member = self.table.get(name)
             if member is None or member.state is members.MemberState.DEAD:
-                self._book.close(name)
+                self._probes.close(name)
                 continue
-            if not self._book.is_silent(name):
+            if not self._probes.is_unresponsive(name):
                 count = 1 + self._settings.indirect_probes
                 if self._check_budget.take(count, now_s):
                     self._probe_indirectly(name, now_s)
                 else:
-                    self._book.close(name)
+                    self._probes.close(name)
                 continue
-            self._book.close(name)
+            self._probes.close(name)
             if member.description.region != self.me.description.region:
-                # A cut link between regions says nothing about a single member.
+                # A partition between regions is no evidence about a single member.
                 self._links.advance_contact(member.description.zone)
                 continue
             self._view.suspect(member, now_s)
             self._start_probe(name)
 
-    def _meet_contacts(self) -> list[str]:
+    def _sync_new_contacts(self) -> list[str]:
         """Return the contacts in other regions and compare tables with new ones."""
         contacts = self._links.list_contacts()
         for name in contacts:
@@ -289,21 +290,21 @@
         return contacts
 
     def _probe_indirectly(self, name: str, now_s: float) -> None:
-        sequence = self._book.make_indirect(name, now_s)
-        self._broken.append(name)
+        sequence = self._probes.make_indirect(name, now_s)
+        self._reconnects.append(name)
         self._send_ping(name, sequence)
         for helper in self._links.choose_helpers(name, now_s):
             header = self._make_header(helper)
             self._send(helper, gossip_messages.ProbeRequest(header, sequence, name))
-        # The successors of one that may be dead have one watcher less.
+        # If the member is dead, its successors have lost a watcher.
         for ring in range(self._settings.rings):
-            if name not in self._links.list_targets(ring):
+            if name not in self._links.list_probe_targets(ring):
                 continue
             for successor in self._links.list_successors(ring):
                 self._start_probe(successor)
 
     def _start_probe(self, name: str) -> None:
-        sequence = self._book.start(name, self._last_call_s)
+        sequence = self._probes.start(name, self._last_call_s)
         if sequence is not None:
             self._send_ping(name, sequence)
 
@@ -318,10 +319,10 @@
     def _make_header(
         self, receiver: str, updates: abc.Iterable[members.Update] | None = None
     ) -> gossip_messages.Header:
-        """Return a header; one to an accused member tells it of the accusation."""
+        """Return a header; it tells a suspected or dead receiver of its state."""
         chosen = list(self._take_updates() if updates is None else updates)
         member = self.table.get(receiver)
-        if member is not None and member.state in _ACCUSED:
+        if member is not None and member.state in _SUSPECT_OR_DEAD:
             chosen.append(members.make_update(member, with_description=False))
         return gossip_messages.Header(
             self.me.name,
@@ -347,11 +348,11 @@
         self._send(receiver, gossip_messages.SyncRows(header, is_answer_wanted))
 
     def _push(self, now_s: float) -> None:
-        """Send new updates to all links at once instead of with the next probes."""
+        """Send new updates to all links without waiting for the next probes."""
         if now_s < self._push_at_s:
             return
         queue = self._view.queue
-        # Piggybacking alone takes seconds to repair losses when many members change.
+        # With many changes, piggybacking alone takes seconds to resend lost updates.
         is_backlogged = len(queue) > 2 * self._settings.max_updates
         is_repair_due = is_backlogged and now_s >= self._repair_at_s
         if not (self._has_new_revision or queue.has_fresh() or is_repair_due):
--- a/src/endivevane/coordination/membership_view.py
+++ b/src/endivevane/coordination/membership_view.py
@@ -1,4 +1,4 @@
-"""What one daemon believes of all members, and how reports change it."""
+"""One daemon's view of the membership and how updates change it."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class MembershipView:
-    """Members, suspicions with their deadlines, and updates to pass on.
+    """Members, suspicions with their deadlines, and updates to disseminate.
 
     :param me: this daemon
-    :param settings: times and bounds
+    :param settings: timeouts and limits
     """
 
     def __init__(self, me: members.Member, settings: probes.DetectorSettings) -> None:
@@ -43,7 +43,7 @@
         return events
 
     def is_suspected(self, name: str) -> bool:
-        """Tell whether the deadline of a suspicion runs."""
+        """Return whether a member is under suspicion."""
         return name in self._suspicions
 
     def leave(self) -> None:
@@ -51,29 +51,29 @@
         self._replace_me(self.me.incarnation, members.MemberState.LEAVING)
 
     def suspect(self, member: members.Member, now_s: float) -> None:
-        """Start the deadline of a member that answers neither way of probing."""
+        """Suspect a member that answered neither direct nor indirect probes."""
         if member.name not in self._suspicions:
             deadline_s = now_s + self._settings.suspect_timeout_s
             self._suspicions[member.name] = deadline_s
         if member.state is members.MemberState.ALIVE:
             self.report(member.name, members.MemberState.SUSPECT, now_s)
 
-    def clear_unannounced(self, name: str) -> None:
-        """End the suspicion of a leaving member that has answered.
+    def clear_leaving_suspicion(self, name: str) -> None:
+        """Clear the suspicion of a leaving member that has answered.
 
-        Such a suspicion is not announced, so the member can't refute it.
+        Such a suspicion is not disseminated, so the member can't refute it.
         """
         member = self.table.get(name)
         if member is not None and member.state is members.MemberState.LEAVING:
             self._suspicions.pop(name, None)
 
     def extend(self, duration_s: float) -> None:
-        """Move the deadlines of all suspicions."""
+        """Extend the deadlines of all suspicions."""
         for name in self._suspicions:
             self._suspicions[name] += duration_s
 
     def expire(self, now_s: float) -> None:
-        """Declare members dead whose suspicion nobody refuted in time."""
+        """Declare members dead whose suspicion was not refuted in time."""
         for name, deadline_s in list(self._suspicions.items()):
             if deadline_s > now_s:
                 continue
@@ -81,7 +81,7 @@
             self.report(name, members.MemberState.DEAD, now_s)
 
     def purge(self, now_s: float) -> None:
-        """Forget members that died long ago."""
+        """Remove members whose tombstone has expired."""
         for name, dead_s in list(self._tombstones.items()):
             if now_s - dead_s < self._settings.tombstone_s:
                 continue
@@ -95,7 +95,7 @@
             self.merge([members.Update(name, member.incarnation, state)], now_s)
 
     def merge(self, updates: abc.Iterable[members.Update], now_s: float) -> None:
-        """Apply reports that are newer than what is known."""
+        """Apply the updates that supersede what is known."""
         for update in updates:
             if update.name == self.me.name:
                 self._refute(update)
@@ -108,9 +108,9 @@
                 if member is None:
                     continue
                 description = member.description
-            self._accept(update, description, member, now_s)
+            self._apply(update, description, member, now_s)
 
-    def _accept(
+    def _apply(
         self,
         update: members.Update,
         description: members.Description,
@@ -134,7 +134,7 @@
         self._events.append(MemberChanged(before, member))
 
     def _refute(self, update: members.Update) -> None:
-        """Answer a report about this daemon that is not what it says of itself."""
+        """Refute an update about this daemon that contradicts its own state."""
         is_newer = update.incarnation > self.me.incarnation
         if update.incarnation < self.me.incarnation:
             return
@@ -143,8 +143,8 @@
             if self.me.state is not members.MemberState.LEAVING:
                 self.leave()
             return
-        is_same_place = update.description in (None, self.me.description)
-        if not is_newer and is_same_place and update.state <= self.me.state:
+        is_same_description = update.description in (None, self.me.description)
+        if not is_newer and is_same_description and update.state <= self.me.state:
             return
         self._replace_me(update.incarnation + 1, self.me.state)
 
--- a/src/endivevane/coordination/probes.py
+++ b/src/endivevane/coordination/probes.py
@@ -1,35 +1,36 @@
-"""Settings of the failure detector and its probes in flight."""
+"""Settings and in-flight probes of the failure detector."""
 
 from __future__ import annotations
 
 import dataclasses
 
 _MAX_RELAYS = 64
-_ANSWER_WEIGHT = 0.125
-_ANSWER_FACTOR = 4.0
+_ROUND_TRIP_WEIGHT = 0.125
+_ROUND_TRIP_FACTOR = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DetectorSettings:
-    """Times and bounds of the detector.
+    """Intervals, timeouts and limits of the failure detector.
 
-    :param probe_interval_s: time in which each watched member is pinged once
-    :param probe_timeout_s: wait for an indirect answer, and longest wait for a direct
-        one; the shortest is half of it, which covers a pause of 200 ms at the watched
-        member
+    :param probe_interval_s: interval at which each watched member is pinged
+    :param probe_timeout_s: timeout of an indirect probe and upper bound for a direct
+        one; the lower bound is half of it, which covers a pause of 200 ms at the
+        probed member
     :param suspect_timeout_s: time from suspicion to death without a refutation
-    :param rings: members that each member watches
-    :param indirect_probes: members asked to probe one that does not answer
-    :param max_links: members that unsolicited gossip goes to at most
-    :param max_probes: pings in flight at most
-    :param max_updates: updates piggybacked on a probe or its answer at most
-    :param max_pushed_updates: updates in one unsolicited message at most; with 32 of
-        them updates on the loss of half of 340 members took turns for a second
-    :param max_tick_gap_s: longest time between two calls in normal operation; what
-        exceeds it was a pause of this process
+    :param rings: number of members that each member watches
+    :param indirect_probes: number of members asked to probe an unresponsive one
+    :param max_links: maximum number of receivers of unsolicited gossip
+    :param max_probes: maximum number of pings in flight
+    :param max_updates: maximum number of updates piggybacked on a probe or its answer
+    :param max_pushed_updates: maximum number of updates in an unsolicited message;
+        with 32, the updates on the loss of half of 340 members needed a second of
+        rotation
+    :param max_tick_gap_s: longest time between two calls in normal operation; any
+        excess is treated as a pause of this process
     :param push_interval_s: shortest time between two rounds of unsolicited gossip
-    :param sync_interval_s: time between comparisons of whole tables
-    :param tombstone_s: how long a dead member is remembered
+    :param sync_interval_s: interval between comparisons of whole tables
+    :param tombstone_s: retention of dead members
     """
 
     probe_interval_s: float = 1.0
@@ -51,7 +52,7 @@
 class Probe:
     """A ping that has not been answered yet.
 
-    :param is_indirect: whether other members have been asked to probe too
+    :param is_indirect: whether other members have been asked to probe as well
     """
 
     sequence: int
@@ -64,8 +65,8 @@
 class Relay:
     """A ping sent on behalf of another member.
 
-    :param origin: the member that asked
-    :param sequence: sequence number that the origin used
+    :param origin: the member that requested the probe
+    :param sequence: sequence number of the origin's request
     """
 
     origin: str
@@ -74,9 +75,9 @@
 
 
 class ProbeRegistry:
-    """Probes and relays in flight, both bounded in number.
+    """Registry of the probes and relays in flight, both bounded in number.
 
-    :param settings: times and bounds
+    :param settings: timeouts and limits
     """
 
     def __init__(self, settings: DetectorSettings) -> None:
@@ -84,18 +85,18 @@
         self._probes: dict[str, Probe] = {}
         self._relays: dict[int, Relay] = {}
         self._sequence = 0
-        self._answer_s = 0.0
+        self._round_trip_s = 0.0
 
     def __contains__(self, name: object) -> bool:
         return name in self._probes
 
-    def is_silent(self, name: str) -> bool:
-        """Tell whether a member did not answer its last direct ping."""
+    def is_unresponsive(self, name: str) -> bool:
+        """Return whether a member did not answer its last direct ping."""
         probe = self._probes.get(name)
         return probe is not None and probe.is_indirect
 
     def start(self, name: str, now_s: float) -> int | None:
-        """Open a probe and return its number, if one is free for this member."""
+        """Start a probe and return its sequence number, if the limits allow."""
         if name in self._probes or len(self._probes) >= self._settings.max_probes:
             return None
         self._sequence += 1
@@ -104,39 +105,43 @@
         return probe.sequence
 
     def _compute_wait_s(self) -> float:
-        """Return the wait for a direct answer, longer when answers have been slow."""
+        """Return the timeout of a direct probe, adapted to the recent round trips."""
         longest_s = self._settings.probe_timeout_s
-        return min(longest_s, max(longest_s / 2, _ANSWER_FACTOR * self._answer_s))
+        return min(
+            longest_s, max(longest_s / 2, _ROUND_TRIP_FACTOR * self._round_trip_s)
+        )
 
     def list_expired(self, now_s: float) -> list[str]:
-        """Return names whose probe has waited long enough."""
+        """Return the members whose probe has timed out."""
         return [
             name for name, probe in self._probes.items() if probe.deadline_s <= now_s
         ]
 
     def make_indirect(self, name: str, now_s: float) -> int:
-        """Give a probe the time for an indirect answer and return its number."""
+        """Extend a probe by the indirect timeout and return its sequence number."""
         probe = self._probes[name]
         probe.is_indirect = True
         probe.deadline_s = now_s + self._settings.probe_timeout_s
         return probe.sequence
 
     def close(self, name: str) -> None:
-        """Forget the probe to a member."""
+        """Discard the probe of a member."""
         self._probes.pop(name, None)
 
     def resolve(self, sequence: int, now_s: float) -> str | None:
-        """Close the probe with this number and return whom it was sent to."""
+        """Complete the probe with a sequence number and return its member."""
         for name, probe in self._probes.items():
             if probe.sequence == sequence:
                 del self._probes[name]
                 passed_s = now_s - probe.sent_s
-                self._answer_s += _ANSWER_WEIGHT * (passed_s - self._answer_s)
+                self._round_trip_s += _ROUND_TRIP_WEIGHT * (
+                    passed_s - self._round_trip_s
+                )
                 return name
         return None
 
     def start_relay(self, origin: str, sequence: int, now_s: float) -> int | None:
-        """Return the number for a ping on behalf of another, if one is free."""
+        """Return the sequence number for a relayed ping, if the limit allows."""
         for number, relay in list(self._relays.items()):
             if relay.expires_s <= now_s:
                 del self._relays[number]
@@ -148,10 +153,10 @@
         return self._sequence
 
     def finish_relay(self, sequence: int) -> Relay | None:
-        """Return and forget the relay that used this number."""
+        """Remove and return the relay with a sequence number."""
         return self._relays.pop(sequence, None)
 
     def extend(self, duration_s: float) -> None:
-        """Move all deadlines."""
+        """Extend the deadlines of all probes."""
         for probe in self._probes.values():
             probe.deadline_s += duration_s
--- a/src/endivevane/coordination/rates.py
+++ b/src/endivevane/coordination/rates.py
@@ -1,4 +1,4 @@
-"""Rates and mean levels that forget the past at an exponential pace."""
+"""Exponentially decayed rates and averages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self._updated_s = now_s
 
     def add(self, now_s: float, count: float = 1.0) -> None:
-        """Take in events that happened now."""
+        """Add events that happen now."""
         self._decay(now_s)
         self._sum += count
 
@@ -34,9 +34,9 @@
 
 
 class DecayedLevel:
-    """Mean of a number that goes up and down, weighted like :class:`DecayedRate`.
+    """Time-weighted mean of a gauge, decayed like :class:`DecayedRate`.
 
-    :ivar level: the number at present
+    :ivar level: the current value of the gauge
     """
 
     def __init__(self, time_constant_s: float, now_s: float) -> None:
@@ -46,7 +46,7 @@
         self._updated_s = now_s
 
     def change(self, amount: int, now_s: float) -> None:
-        """Add to the number."""
+        """Add to the current value."""
         self._advance(now_s)
         self.level += amount
 
--- a/src/endivevane/coordination/register.py
+++ b/src/endivevane/coordination/register.py
@@ -1,4 +1,4 @@
-"""A register that lets a call run at most once per key."""
+"""Idempotency-key register that lets a call run at most once per key."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """The right to send a call, once.
+    """The right to send a call once.
 
-    :param revision: row revision of the claim, ``None`` while it is not known
+    :param revision: row revision of the claim, ``None`` while it is unknown
     """
 
     row_key: str
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The call was made before; this is its stored outcome."""
+    """The call was completed before, with this stored outcome."""
 
     outcome: dict[str, typing.Any]
 
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expired:
-    """The call was accepted before; what is known of it is being deleted.
+    """The call was accepted before, and its record is being deleted.
 
     :param has_run: whether an outcome was stored
     """
@@ -61,14 +61,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyReused:
-    """The key belongs to a call with another content."""
+    """The key belongs to a call with different content."""
 
 
 ClaimResult = Claim | Finished | MayHaveRun | Expired | KeyReused
 
 
 class RecordStatus(enum.StrEnum):
-    """Where an outcome or a release is now."""
+    """Whether an outcome or a release was stored, deferred or lost."""
 
     STORED = "stored"
     DEFERRED = "later"
@@ -77,22 +77,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Pending:
-    """A change of a claimed row; ``outcome`` is ``None`` for a release."""
+    """A deferred change of a claimed row; ``outcome`` is ``None`` for a release."""
 
     claim: Claim
     outcome: dict[str, typing.Any] | None
 
 
 class Register:
-    """Claims keys before calls are sent and keeps the outcomes.
+    """Claims keys before calls are sent and stores the outcomes.
 
     Only the caller of :meth:`claim` that gets a :class:`Claim` may send, and it sends
-    once. A process that dies after its claim leaves the key as ``MayHaveRun`` until its
-    retention ends, because nobody can tell whether it had sent. Thread-safe.
+    once. If a process dies after its claim, the key stays ``MayHaveRun`` until its
+    retention ends, because nobody can tell whether the call was sent. Thread-safe.
 
-    :param table_store: where the rows are
+    :param table_store: the store of the rows
     :param make_operation_id: returns a new unique id
-    :param backlog_size: changes that may wait for the store to come back
+    :param backlog_size: maximum number of changes deferred while the store is down
     """
 
     def __init__(
@@ -115,13 +115,13 @@
         now_ms: int,
         may_continue: abc.Callable[[], bool] = lambda: True,
     ) -> result.Result[ClaimResult, store.StoreError]:
-        """Claim a key, or say what is known of it.
+        """Claim a key, or return the state of the existing claim.
 
         :param digest: digest of the call's content
-        :param now_ms: wall time, kept for people
-        :param may_continue: tells whether there is time to settle a lost answer
+        :param now_ms: wall time, stored for information only
+        :param may_continue: returns whether there is time to resolve a lost answer
         :returns: an error when the key is not claimed for the caller, who must not
-            send; then nothing was run on its behalf
+            send; nothing was run on its behalf
         """
         claim = Claim(
             row_key=f"{organisation}/{key}",
@@ -142,36 +142,36 @@
             return result.Ok(dataclasses.replace(claim, revision=outcome.ok_value))
         error = outcome.err_value
         if isinstance(error, store.StoreConflict):
-            return self._describe(error, claim)
+            return self._interpret_conflict(error, claim)
         if isinstance(error, store.StoreOutcomeUnknown):
-            # The row may be there without a call behind it: free the key later.
-            self._put_off(_Pending(claim, None))
+            # The row may exist although no call will be sent: release the key later.
+            self._enqueue(_Pending(claim, None))
         return result.Err(error)
 
     def record(self, claim: Claim, outcome: dict[str, typing.Any]) -> RecordStatus:
         """Store the outcome of a call, now or later.
 
-        :param outcome: JSON object that a later sight of the key returns
+        :param outcome: JSON object that later claims of the key return
         """
         return self._change(_Pending(claim, outcome))
 
     def release(self, claim: Claim) -> RecordStatus:
-        """Give up a claim whose call provably did not run, now or later."""
+        """Release a claim whose call provably did not run, now or later."""
         return self._change(_Pending(claim, None))
 
     def defer(
         self, claim: Claim, outcome: dict[str, typing.Any] | None
     ) -> RecordStatus:
-        """Put an outcome off without trying the store.
+        """Defer an outcome without calling the store.
 
         :param outcome: ``None`` releases the claim
         """
-        return self._put_off(_Pending(claim, outcome))
+        return self._enqueue(_Pending(claim, outcome))
 
     def flush(self) -> int:
-        """Try to make the changes that were put off; return how many still wait.
+        """Apply the deferred changes and return the number still pending.
 
-        Stops at the first change that fails, because the store is down then.
+        Stops at the first failure, because the store is then down.
         """
         for _ in range(self.count_pending()):
             with self._lock:
@@ -185,17 +185,17 @@
         return self.count_pending()
 
     def count_pending(self) -> int:
-        """Return how many changes wait for the store."""
+        """Return the number of deferred changes."""
         with self._lock:
             return len(self._backlog)
 
-    def _describe(
+    def _interpret_conflict(
         self, error: store.StoreConflict, claim: Claim
     ) -> result.Result[ClaimResult, store.StoreError]:
-        """Tell what another claim of the key means for this one."""
+        """Map the existing row of a key to the result of a claim."""
         row = error.rows.get((TABLE, claim.row_key))
         if row is None:
-            # The row was released between the write and the answer.
+            # The key was released between the write and the answer.
             return result.Err(store.StoreUnavailable("the claim changed; try again"))
         if row.value["digest"] != claim.digest:
             return result.Ok(KeyReused())
@@ -208,9 +208,9 @@
     def _change(self, pending: _Pending) -> RecordStatus:
         if self._apply(pending):
             return RecordStatus.STORED
-        return self._put_off(pending)
+        return self._enqueue(pending)
 
-    def _put_off(self, pending: _Pending) -> RecordStatus:
+    def _enqueue(self, pending: _Pending) -> RecordStatus:
         with self._lock:
             if len(self._backlog) >= self._backlog_size:
                 return RecordStatus.LOST
@@ -218,7 +218,7 @@
             return RecordStatus.DEFERRED
 
     def _apply(self, pending: _Pending) -> bool:
-        """Make a change; return whether nothing is left to do."""
+        """Apply a change; return whether nothing is left to do."""
         claim = pending.claim
         revision = claim.revision
         if revision is None:
@@ -237,13 +237,13 @@
             [store.Condition(TABLE, claim.row_key, revision)],
             [store.Write(TABLE, claim.row_key, _make_value(claim, pending.outcome))],
         )
-        # A conflict can't go away, so there is nothing left to try.
+        # A conflict is permanent, so a retry would not help.
         return isinstance(outcome, result.Ok) or isinstance(
             outcome.err_value, store.StoreConflict
         )
 
     def _delete(self, claim: Claim, revision: int) -> bool:
-        """Delete a claimed row; the revision makes a second delete harmless."""
+        """Delete a claimed row; the revision condition makes this idempotent."""
         outcome = self._store.transact(
             f"{claim.operation_id}.release",
             [store.Condition(TABLE, claim.row_key, revision)],
--- a/src/endivevane/coordination/rendezvous.py
+++ b/src/endivevane/coordination/rendezvous.py
@@ -10,16 +10,16 @@
 
 
 def score(key: str, member: str, weight: float = 1.0) -> float:
-    """Return the rank of a member for a key; the highest wins.
+    """Return the score of a member for a key; the highest score wins.
 
-    The shares of the members are proportional to their weights, and a change of one
-    weight moves keys only from or to that member.
+    Members get keys in proportion to their weights, and a change of one weight moves
+    keys only from or to that member.
 
-    :param weight: more than zero
+    :param weight: greater than zero
     """
     digest = xxhash.xxh3_64_intdigest(f"{len(key)}:{key}{member}")
     uniform = (digest + 0.5) / 2.0**64
-    # The digest's top values round to 1.0, whose logarithm would be zero.
+    # The highest digests round to 1.0, whose logarithm is zero.
     uniform = min(uniform, 1.0 - 2.0**-53)
     return -weight / math.log(uniform)
 
@@ -34,11 +34,11 @@
 
 
 def choose_subset(key: str, members: abc.Mapping[str, float], size: int) -> list[str]:
-    """Return the members with the highest ranks, best first.
+    """Return the members with the highest scores, best first.
 
     A member that joins or leaves replaces at most one member of the subset.
 
-    :param members: weights by name; members of weight zero or less are left out
+    :param members: weights by name; members of weight zero or less are excluded
     """
     ranked = [
         (score(key, name, weight), name)
--- a/src/endivevane/coordination/retry.py
+++ b/src/endivevane/coordination/retry.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries to a small share of the requests."""
+"""Retry budget that limits retries to a share of the requests."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 class RetrySettings:
     """Limits of a retry budget.
 
-    :param share: retries allowed per request of the window
-    :param floor: retries allowed in a window however few requests there are
+    :param share: retries allowed per request in the window
+    :param floor: retries always allowed per window, however few requests there are
     :param window_s: length of the sliding window
 
-    The window is long against a request, because the loss of half of the targets
+    The window is long compared with a request, because the loss of half of the targets
     breaks half of the requests in flight at once, and each of them needs a retry.
-    With 10% and a floor of 10 the sends stay under 1.2 times the requests from 100
-    requests a window on, even when every attempt fails.
+    With a share of 10% and a floor of 10, attempts stay below 1.2 times the requests
+    from 100 requests per window on, even when every attempt fails.
     """
 
     share: float = 0.1
@@ -40,7 +40,7 @@
         self._settings = settings
         self._clock = budget_clock
         self._bucket_s = settings.window_s / _BUCKETS
-        # One entry per bucket that saw events: index, requests, retries.
+        # One entry per bucket with events: index, requests, retries.
         self._buckets: collections.deque[list[int]] = collections.deque()
         self._requests = 0
         self._retries = 0
@@ -51,7 +51,7 @@
         self._requests += 1
 
     def try_retry(self) -> bool:
-        """Take one retry from the budget; return whether there was one."""
+        """Spend one retry of the budget if it allows; return whether it did."""
         if not self.has_retry():
             return False
         self._current_bucket()[2] += 1
--- a/src/endivevane/coordination/shares.py
+++ b/src/endivevane/coordination/shares.py
@@ -1,4 +1,4 @@
-"""Division of a rate among daemons by need, without a coordination service."""
+"""Decentralised max-min fair division of a rate among daemons."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from endivevane.coordination import clock
 
-_LONGEST_GAP_S = 0.5
+_MAX_GAP_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShareSettings:
-    """Bounds of the division.
+    """Parameters of the division.
 
-    :param floor_share: part of the rate that is divided evenly and needs no message
-    :param propagation_s: time in which an announcement reaches all daemons; an own
-        increase counts only after it
-    :param ramp_s: time in which a share grows from nothing to the whole rate; bounds
+    :param floor_share: part of the rate that is divided evenly, without messages
+    :param propagation_s: time in which an announcement reaches all daemons; a daemon's
+        own increase takes effect only after it
+    :param ramp_s: time in which a share grows from zero to the whole rate; it bounds
         the excess when announcements take longer than ``propagation_s``
     :param refresh_s: time between two announcements of an unchanged need
-    :param copies: how often a daemon passes on one announcement
-    :param max_entries_per_s: announcements that a daemon sends, own and others'; with
-        many needy daemons all the times above are stretched to keep to it
-    :param max_stretch: bound on that; with more needy daemons nobody hears of all, and
-        each keeps to an even share of the members
-    :param change_share: smaller changes of a need are not announced
+    :param copies: number of times that a daemon forwards an announcement
+    :param max_entries_per_s: rate limit for the announcements that a daemon sends, own
+        and forwarded; with many active daemons the times above are stretched to meet it
+    :param max_stretch: upper bound of the stretch; beyond it no daemon receives all
+        announcements, and each limits itself to an even share among the members
+    :param change_share: smaller relative changes of a need are not announced
     """
 
     floor_share: float = 0.1
@@ -41,10 +41,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Need:
-    """What a daemon announces that it needs beyond its floor.
+    """A daemon's announcement of what it needs beyond its floor.
 
-    :param version: the higher one of the same daemon holds, also across restarts
-    :param need: in units of the rate a second; 0 for none
+    :param version: the highest one of a daemon is valid, also across restarts
+    :param need: in units of the rate; 0 for none
     """
 
     name: str
@@ -54,10 +54,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Known:
-    """Last need heard of another daemon.
+class _PeerNeed:
+    """Last known need of another daemon.
 
-    :param copies_left: how often it is still to be passed on
+    :param copies_left: number of times that it is still to be forwarded
     """
 
     need: Need
@@ -66,16 +66,16 @@
 
 
 class ShareAllocator:
-    """Computes this daemon's share of a rate from the needs that it knows.
+    """Computes this daemon's share of a rate from the announced needs.
 
-    Not thread-safe. The caller carries what :meth:`take_announcements` returns to
-    other daemons, piggybacked on messages that go around anyway, and passes what it
-    receives to :meth:`receive`.
+    Not thread-safe. The caller sends what :meth:`take_announcements` returns to other
+    daemons, piggybacked on other messages, and passes what it receives to
+    :meth:`receive`.
 
     While announcements spread within ``propagation_s``, the shares of all daemons add
     up to
-    the rate at most: a daemon counts the least that it announced during that time for
-    itself, and others count at least as much for it, so that its share is at most its
+    the rate at most: a daemon uses the lowest need that it announced during that time
+    for itself, and others use at least as much for it, so its share is at most its
     part of one common max-min division.
 
     :param first_version: higher than all versions of earlier processes of this name
@@ -94,9 +94,9 @@
         self._own = Need(name, first_version, 0.0, weight)
         self._own_copies_left = 0
         self._announced_s = allocator_clock.monotonic_s()
-        # Own needs of the last settle time, each with the time of its announcement.
+        # Own needs of the last propagation time, each with its announcement time.
         self._history = collections.deque([(self._announced_s, 0.0)])
-        self._known: dict[str, _Known] = {}
+        self._peer_needs: dict[str, _PeerNeed] = {}
         self._members = 1
         self._is_majority = True
         self._sent_s = self._announced_s
@@ -106,27 +106,27 @@
 
     @property
     def propagation_s(self) -> float:
-        """Time after which an own increase counts now."""
+        """Current delay before an increase of the own need takes effect."""
         return self._settings.propagation_s * self._stretch()
 
     def set_members(self, alive: abc.Collection[str], known_count: int) -> None:
-        """Set the live members, this daemon included.
+        """Set the live members, including this daemon.
 
-        A member that is gone counts for the settle time, as it may be alive after all.
-        A daemon that sees less than half of the members keeps to its floor: another
-        part may divide the same rate.
+        The need of a lost member still counts for the propagation time, because the
+        member may be alive. A daemon that sees less than half of the members uses only
+        its floor, because another partition may divide the same rate.
 
-        :param known_count: members that there were before any was lost
+        :param known_count: number of members before any was lost
         """
         self._members = max(1, len(alive))
         self._is_majority = 2 * len(alive) >= known_count
         until_s = self._clock.monotonic_s() + self.propagation_s
-        for name, known in self._known.items():
+        for name, known in self._peer_needs.items():
             if name not in alive:
                 known.expires_s = min(known.expires_s, until_s)
 
     def set_need(self, need: float) -> None:
-        """Set what this daemon uses or asks for beyond its floor."""
+        """Set what this daemon uses or requests beyond its floor."""
         now_s = self._clock.monotonic_s()
         own = self._own
         difference = abs(need - own.need)
@@ -141,24 +141,24 @@
         self._history.append((now_s, need))
 
     def receive(self, need: Need) -> None:
-        """Take in an announcement of another daemon."""
-        known = self._known.get(need.name)
+        """Apply an announcement from another daemon."""
+        known = self._peer_needs.get(need.name)
         if need.name == self._own.name:
             return
         if known is not None and need.version <= known.need.version:
             return
-        # Five refreshes must be lost before a need is forgotten.
+        # A need expires only after five lost refreshes.
         lifetime_s = 5 * self._settings.refresh_s * self._stretch()
         expires_s = self._clock.monotonic_s() + lifetime_s
-        # Entries take turns in the order of their arrival; with a fixed order the same
-        # few were passed on again and again, and daemons knew of too few others.
-        self._known.pop(need.name, None)
-        self._known[need.name] = _Known(need, expires_s, self._settings.copies)
+        # Entries rotate in the order of their arrival; with a fixed order, the same few
+        # were forwarded repeatedly and daemons knew of too few others.
+        self._peer_needs.pop(need.name, None)
+        self._peer_needs[need.name] = _PeerNeed(need, expires_s, self._settings.copies)
 
     def take_announcements(self, count: int) -> tuple[Need, ...]:
         """Return announcements for one message, the own one first.
 
-        :param count: how many at most
+        :param count: maximum number of announcements
         """
         now_s = self._clock.monotonic_s()
         rate = self._settings.max_entries_per_s
@@ -170,8 +170,8 @@
         if count and self._own_copies_left:
             self._own_copies_left -= 1
             taken.append(self._own)
-        # Those that were passed on least go first.
-        waiting = [item for item in self._known.values() if item.copies_left]
+        # Those forwarded the fewest times go first.
+        waiting = [item for item in self._peer_needs.values() if item.copies_left]
         waiting.sort(key=lambda item: -item.copies_left)
         for known in waiting[: count - len(taken)]:
             known.copies_left -= 1
@@ -180,19 +180,19 @@
         return tuple(taken)
 
     def compute_share(self, rate: float) -> float:
-        """Return what this daemon may use now of the rate that all share.
+        """Return this daemon's current share of the common rate.
 
-        To be called at least every 0.5 s, or the share grows more slowly.
+        Must be called at least every 0.5 s, or the share grows more slowly.
         """
         now_s = self._clock.monotonic_s()
-        self._forget(now_s)
+        self._drop_expired(now_s)
         floor = rate * self._settings.floor_share / self._members
         pool = rate * (1 - self._settings.floor_share)
         wanted = 0.0
         if self._is_majority:
             needs = {
                 name: (known.need.need, known.need.weight)
-                for name, known in self._known.items()
+                for name, known in self._peer_needs.items()
             }
             own_need = min(need for _, need in self._history)
             needs[self._own.name] = (own_need, self._own.weight)
@@ -201,33 +201,33 @@
                 self._settings.max_stretch * self._settings.max_entries_per_s
             ):
                 wanted = min(wanted, pool / self._members)
-        # A decrease counts at once. A share that nobody asks for does not grow.
-        passed_s = min(_LONGEST_GAP_S, now_s - self._shared_s)
+        # A decrease takes effect at once. A share that is not requested does not grow.
+        passed_s = min(_MAX_GAP_S, now_s - self._shared_s)
         grown = passed_s * pool / self._settings.ramp_s
         self._share = min(wanted, self._share + grown)
         self._shared_s = now_s
         return floor + self._share
 
     def _stretch(self) -> float:
-        """Return by how much all times grow to keep to the bound on announcements."""
+        """Return the factor by which all times grow to meet the announcement limit."""
         settings = self._settings
         stretch = self._count_entries_per_s() / settings.max_entries_per_s
         return min(settings.max_stretch, max(1.0, stretch))
 
     def _count_entries_per_s(self) -> float:
-        """Return how many announcements the needy daemons have without a stretch."""
-        needy = 1 + sum(bool(known.need.need) for known in self._known.values())
-        return needy * self._settings.copies / self._settings.refresh_s
+        """Return the rate of announcements of all active daemons without a stretch."""
+        active = 1 + sum(bool(known.need.need) for known in self._peer_needs.values())
+        return active * self._settings.copies / self._settings.refresh_s
 
-    def _forget(self, now_s: float) -> None:
-        """Drop needs that have expired, and own ones older than the settle time."""
+    def _drop_expired(self, now_s: float) -> None:
+        """Drop expired needs, and own ones older than the propagation time."""
         for name in [
-            name for name, known in self._known.items() if known.expires_s <= now_s
+            name for name, known in self._peer_needs.items() if known.expires_s <= now_s
         ]:
-            del self._known[name]
-        settled_s = now_s - self.propagation_s
-        # The last need from before the settle time was in force at its beginning.
-        while len(self._history) > 1 and self._history[1][0] <= settled_s:
+            del self._peer_needs[name]
+        propagated_s = now_s - self.propagation_s
+        # The last need before the propagation time was in force when it began.
+        while len(self._history) > 1 and self._history[1][0] <= propagated_s:
             self._history.popleft()
 
 
--- a/src/endivevane/coordination/store.py
+++ b/src/endivevane/coordination/store.py
@@ -1,4 +1,4 @@
-"""The transactional table store that the coordination parts rely on."""
+"""Interface of the transactional table store."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """What a row must look like for a transaction to apply.
+    """Precondition on one row for a transaction to apply.
 
-    :param revision: revision that the row must have; ``None`` means absent
+    :param revision: revision that the row must have; ``None`` requires its absence
     """
 
     table: str
@@ -60,7 +60,7 @@
 class StoreConflict(StoreError):
     """A condition did not hold; nothing was applied.
 
-    :param rows: the rows found where a condition failed; ``None`` for absent ones
+    :param rows: the current rows of the failed conditions; ``None`` for absent ones
     """
 
     def __init__(self, rows: dict[tuple[str, str], Row | None]) -> None:
@@ -68,7 +68,7 @@
         self.rows = rows
 
     def format_message(self) -> str:
-        """Return the keys that did not match."""
+        """Return a message with the keys that did not match."""
         keys = ", ".join(f"{table}/{key}" for table, key in self.rows)
         return f"condition failed on {keys}"
 
@@ -84,14 +84,14 @@
         self.detail = detail
 
     def format_message(self) -> str:
-        """Return what happened."""
+        """Return a message with the cause."""
         return f"table service unavailable: {self.detail}"
 
 
 class StoreOverloaded(StoreError):
-    """The table service refused the call for its rate; nothing was applied.
+    """The table service refused the call by its rate limit; nothing was applied.
 
-    :param retry_after_s: time to wait before the next try
+    :param retry_after_s: time to wait before a retry
     """
 
     def __init__(self, retry_after_s: float) -> None:
@@ -99,15 +99,15 @@
         self.retry_after_s = retry_after_s
 
     def format_message(self) -> str:
-        """Return when to try again."""
+        """Return a message with the time to wait before a retry."""
         return f"table service overloaded, retry after {self.retry_after_s:g} s"
 
 
 class StoreOutcomeUnknown(StoreError):
     """The answer to a write was lost; it may have taken effect.
 
-    :param operation_id: operation to look for
-    :param detail: what happened
+    :param operation_id: id to find in the written row
+    :param detail: cause of the failure
     """
 
     def __init__(self, operation_id: str, detail: str) -> None:
@@ -116,7 +116,7 @@
         self.detail = detail
 
     def format_message(self) -> str:
-        """Return the operation and what happened."""
+        """Return a message with the operation and the cause."""
         return f"outcome of operation {self.operation_id} unknown: {self.detail}"
 
 
@@ -129,7 +129,7 @@
     def scan(
         self, table: str, prefix: str, after: str = "", limit: int = 500
     ) -> result.Result[list[Row], StoreError]:
-        """Return rows whose key has the prefix and sorts after ``after``."""
+        """Return rows whose key starts with the prefix and sorts after ``after``."""
 
     def transact(
         self,
@@ -148,14 +148,15 @@
     attempts: int = 3,
     may_continue: abc.Callable[[], bool] = lambda: True,
 ) -> result.Result[int, StoreError]:
-    """Run a transaction and settle lost answers by reading back.
+    """Run a transaction and resolve lost answers by reading back.
 
-    The first write must not delete its row: it carries the operation id that tells
-    whether the transaction took effect. Resending is safe because the conditions
-    name exact revisions: a transaction that took effect fails its own conditions.
+    The first write must not delete its row: it carries the operation id, by which a
+    read finds out whether the transaction took effect. Resending is safe because the
+    conditions name exact revisions: a transaction that took effect fails its own
+    conditions.
 
-    :param attempts: how often the transaction may be sent
-    :param may_continue: tells after a lost answer whether there is time to settle it
+    :param attempts: maximum number of times that the transaction is sent
+    :param may_continue: returns after a lost answer whether there is time to resolve it
     :returns: the revision; or the last error, where ``StoreOutcomeUnknown`` means
         that reading back failed too
     """
@@ -171,17 +172,17 @@
             return outcome
         error = outcome.err_value
         if isinstance(error, StoreConflict) and unknown:
-            return _settle_conflict(store, operation_id, marker, error)
+            return _resolve_conflict(store, operation_id, marker, error)
         if not isinstance(error, StoreOutcomeUnknown):
-            # An earlier attempt with an unknown outcome keeps the whole unknown.
+            # If an earlier attempt has an unknown outcome, so has the transaction.
             return result.Err(last_error if unknown else error)
         unknown = True
         last_error = error
         if not may_continue():
             break
-        settled = _find_operation(store, operation_id, marker)
-        if isinstance(settled, result.Ok) and settled.ok_value is not None:
-            return result.Ok(settled.ok_value)
+        resolved = _find_operation(store, operation_id, marker)
+        if isinstance(resolved, result.Ok) and resolved.ok_value is not None:
+            return result.Ok(resolved.ok_value)
         if not may_continue():
             break
     return result.Err(last_error)
@@ -208,15 +209,15 @@
     return result.Ok(row.revision)
 
 
-def _settle_conflict(
+def _resolve_conflict(
     store: TableStore, operation_id: str, marker: Write, error: StoreConflict
 ) -> result.Result[int, StoreError]:
-    """Tell a conflict with our own earlier attempt from a real one."""
-    settled = _find_operation(store, operation_id, marker)
-    if isinstance(settled, result.Err):
+    """Distinguish a conflict with our own earlier attempt from a real one."""
+    resolved = _find_operation(store, operation_id, marker)
+    if isinstance(resolved, result.Err):
         return result.Err(
-            StoreOutcomeUnknown(operation_id, settled.err_value.format_message())
+            StoreOutcomeUnknown(operation_id, resolved.err_value.format_message())
         )
-    if settled.ok_value is not None:
-        return result.Ok(settled.ok_value)
+    if resolved.ok_value is not None:
+        return result.Ok(resolved.ok_value)
     return result.Err(error)
--- a/src/endivevane/orders/counts.py
+++ b/src/endivevane/orders/counts.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of the orders to engines."""
+"""Prometheus metrics for the orders to engines."""
 
 from __future__ import annotations
 
--- a/src/endivevane/orders/demand.py
+++ b/src/endivevane/orders/demand.py
@@ -1,4 +1,4 @@
-"""Brings the demand of all daemons to the owners of the engine groups."""
+"""Aggregation of the demand of all daemons at the owners of the engine groups."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 KIND = "demand"
 Services = abc.Mapping[str, abc.Mapping[str, types.ModelDemand]]
 
-# Up to this many daemons each tells the owners directly.
+# Up to this many daemons, each reports to the owners directly.
 _DIRECT_DAEMONS = 18
-# Collectors for each root of the number of daemons; more of them make more messages to
-# the owners, fewer make larger sums of messages to each collector.
+# Multiple of the square root of the number of daemons. More collectors send more
+# messages to the owners; with fewer, each collector receives more messages.
 _COLLECTORS_FACTOR = 3
 _MIN_INTERVAL_S = 10.0
-# Bounds the bytes of collectors and owners at any number of daemons.
+# Bounds the traffic of collectors and owners at any number of daemons.
 _INTERVAL_S_PER_DAEMON = 0.1
-# A report counts for this many intervals, so that one may get lost.
-_KEPT_INTERVALS = 2.5
-# Share of the live daemons whose demand must be known before it counts.
-_KNOWN_SHARE = 0.5
+# A report stays valid for this many intervals, so that one may be lost.
+_VALID_INTERVALS = 2.5
+# Share of the live daemons whose demand must be known before it is used.
+_MIN_COVERED_SHARE = 0.5
 _OWNERS_MAX_AGE_S = 60.0
 _OWNERS_MIN_AGE_S = 10.0
 
@@ -36,7 +36,7 @@
 class _Report:
     """Demand of one or more daemons.
 
-    :param daemons: how many it covers
+    :param daemons: number of daemons covered
     """
 
     daemons: int
@@ -45,14 +45,14 @@
 
 
 class DemandExchange:
-    """Sums the demand of the daemons at the owner of each group.
+    """Sums the demand of all daemons at the owner of each group.
 
     Each daemon sends its demand to a collector, chosen by rendezvous hashing, and each
-    collector sends the sum to the owners; few daemons do without collectors. One
-    thread uses it, but :meth:`receive` is thread-safe.
+    collector sends the sum to the owners; a small cluster has no collectors. Only
+    :meth:`receive` is thread-safe.
 
     :param read_own: returns the demand at this daemon
-    :param table_store: tells who owns which group
+    :param table_store: holds the owners of the groups
     """
 
     def __init__(
@@ -75,19 +75,19 @@
         self._owners_read_s = -math.inf
 
     def receive(self, sender: str, body: typing.Any) -> None:
-        """Take in a message of another daemon."""
+        """Queue a message from another daemon."""
         self._inbox.put((sender, body))
 
     def run(
         self, daemons: abc.Collection[str], groups: abc.Collection[str]
     ) -> list[tuple[str, dict[str, typing.Any]]]:
-        """Return the messages that are due, each with its receiver.
+        """Return the due messages, each with its receiver.
 
         :param daemons: names of the live daemons
         :param groups: names of the model services
         """
         now_s = self._clock.monotonic_s()
-        self._take_inbox(daemons, now_s)
+        self._apply_inbox(daemons, now_s)
         if now_s < self._due_s:
             return []
         self._interval_s = max(_MIN_INTERVAL_S, _INTERVAL_S_PER_DAEMON * len(daemons))
@@ -108,7 +108,7 @@
     def compute_slots(
         self, service: str, daemons: abc.Collection[str]
     ) -> abc.Mapping[str, float] | None:
-        """Return the slots that demand would fill, by model.
+        """Return the slots that the demand would occupy, by model.
 
         ``None`` when fewer than half of the daemons are covered.
         """
@@ -120,11 +120,11 @@
             covered += report.daemons
             for model, demand in report.services[service].items():
                 models[model] = models.get(model, types.ModelDemand()) + demand
-        if not covered or covered < _KNOWN_SHARE * len(daemons):
+        if not covered or covered < _MIN_COVERED_SHARE * len(daemons):
             return None
         return {model: demand.compute_slots() for model, demand in models.items()}
 
-    def _take_inbox(self, daemons: abc.Collection[str], now_s: float) -> None:
+    def _apply_inbox(self, daemons: abc.Collection[str], now_s: float) -> None:
         while not self._inbox.empty():
             sender, body = self._inbox.get_nowait()
             try:
@@ -133,7 +133,7 @@
                 logs.warning("demand_malformed", sender=sender, error=error)
                 continue
             (self._sums if is_sum else self._collected)[sender] = report
-        oldest_s = now_s - _KEPT_INTERVALS * self._interval_s
+        oldest_s = now_s - _VALID_INTERVALS * self._interval_s
         for reports in (self._collected, self._sums):
             for name in list(reports):
                 if name not in daemons or reports[name].received_s < oldest_s:
@@ -142,7 +142,7 @@
     def _send_sums(
         self, daemons: abc.Collection[str], groups: abc.Collection[str], now_s: float
     ) -> list[tuple[str, dict[str, typing.Any]]]:
-        """Send what this daemon has collected to the owners."""
+        """Return messages to the owners with the sums that this daemon collected."""
         if not self._collected:
             return []
         self._refresh_owners(daemons, groups, now_s)
@@ -151,7 +151,7 @@
             owner = self._owners.get(group)
             if owner is None or owner not in daemons:
                 continue
-            # A group without demand is named too: it is known to have none.
+            # A group without demand is included, so that its owner knows it has none.
             models = by_owner.setdefault(owner, {}).setdefault(group, {})
             for report in self._collected.values():
                 for model, demand in report.services.get(group, {}).items():
@@ -190,7 +190,7 @@
 
 
 def _encode(report: _Report, *, is_sum: bool) -> dict[str, typing.Any]:
-    """Return the body; figures are in hundredths, so that they take few bytes."""
+    """Return the body, with figures in hundredths to keep messages small."""
     services = {
         service: {
             model: [round(figure * 100) for figure in dataclasses.astuple(demand)]
