--- a/src/endivevane/orders/orders.py
+++ b/src/endivevane/orders/orders.py
@@ -1,4 +1,4 @@
-"""The owner of an engine group: reads back, plans and sends orders."""
+"""Reconciliation loop of an engine group: reads state, plans and sends orders."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrdersSettings:
-    """Pace and limits of the orders to engines.
+    """Intervals, timeouts and limits of the orders to engines.
 
     :param interval_s: time between two rounds
-    :param call_timeout_s: limit for each wait of a call to an engine
+    :param call_timeout_s: timeout of each blocking operation of a call to an engine
     :param longest_term_s: longest session term of any daemon
     :param longest_order_s: longest time from sending an order until it can no longer
-        take effect, loading included
-    :param silent_after_s: time without an answer after which an engine is given up
-    :param refused_pause_s: pause after an engine has refused a fencing number
-    :param margin_s: allowance of the observer of other daemons' sessions
-    :param threads: calls to engines at the same time
-    :param fleet_loads: loads at the same time of all services together, which share
-        the rate of the weight store; each service gets an equal part, at least one
+        take effect, including the load
+    :param silent_after_s: time without an answer after which an engine is dropped
+    :param refusal_backoff_s: back-off after an engine has refused a fencing token
+    :param margin_s: clock drift allowance when observing other daemons' sessions
+    :param threads: concurrent calls to engines
+    :param fleet_loads: concurrent loads of all services, which share the bandwidth of
+        the weight store; each service gets an equal part, at least one
     """
 
     interval_s: float = 2.0
@@ -46,7 +46,7 @@
     longest_term_s: float = 30.0
     longest_order_s: float = 120.0
     silent_after_s: float = 6.0
-    refused_pause_s: float = 10.0
+    refusal_backoff_s: float = 10.0
     margin_s: float = 1.0
     threads: int = 8
     fleet_loads: int = 16
@@ -63,27 +63,27 @@
 
     @property
     def epoch(self) -> int | None:
-        """The epoch in force, ``None`` after a lapse."""
+        """The epoch in force, ``None`` after the session expired."""
 
     def compute_remaining_s(self) -> float:
-        """Return the rest of the term, 0 after a lapse."""
+        """Return the time left in the term, 0 after its expiry."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Request:
-    """What one round is about.
+class RoundInput:
+    """Input of one reconciliation round.
 
     :param targets: engines of the service that are not leaving
-    :param kept: models that are never unloaded, see :class:`plans.Group`
-    :param demand_slots: slots that demand would fill, by model; ``None`` while too few
-        daemons have told theirs
-    :param groups: services whose owners share the weight store
-    :param declared_engines: engines of the group, leaving ones included
+    :param protected: models that are never unloaded, see :class:`plans.Group`
+    :param demand_slots: slots that the demand would occupy, by model; ``None`` while
+        too few daemons have reported theirs
+    :param groups: number of services whose owners share the weight store
+    :param declared_engines: engines of the group, including leaving ones
     """
 
     service: snapshot.Service
     targets: abc.Sequence[snapshot.Target]
-    kept: frozenset[str] = frozenset()
+    protected: frozenset[str] = frozenset()
     demand_slots: abc.Mapping[str, float] | None = None
     load_shares: abc.Mapping[str, float] = dataclasses.field(default_factory=dict)
     groups: int = 1
@@ -91,16 +91,16 @@
 
 
 class GroupOwner:
-    """Owns the engines of one service while the session lasts.
+    """Owns the engines of one service while the session is valid.
 
-    One thread at a time may call :meth:`run_round`; it blocks on the table service and
-    on the engines.
+    Only one thread at a time may call :meth:`run_round`, which blocks on the table
+    service and on the engines.
 
     :param group: name of the service
     :param daemon: name of this daemon
     :param session: this daemon's session
-    :param make_client: returns the client of an engine; its connections must not be
-        reused, because a reused one that breaks makes the pool send an order again
+    :param make_client: returns the client of an engine; it must not reuse connections,
+        because the pool resends an order if a reused connection breaks
     :param executor: runs the calls to engines
     """
 
@@ -123,7 +123,7 @@
         self._executor = executor
         self._settings = settings
         self._clock = owner_clock
-        self._fences = fencing.GroupFences(
+        self._owned_groups = fencing.OwnedGroups(
             # Only the epoch of the session is read.
             typing.cast(lease.SessionLease, session),
             settings.longest_term_s,
@@ -132,8 +132,8 @@
         )
         self._observer = lease.SessionObserver(settings.margin_s, owner_clock)
         self._observed_s = owner_clock.monotonic_s()
-        self._residence = residence.Residence()
-        self._replicas = replicas.ReplicaTargets(settings.demand)
+        self._residence = residence.ResidenceTracker()
+        self._autoscaler = replicas.ReplicaAutoscaler(settings.demand)
         self._roles = roles.RoleAssigner()
         self._states = states.EngineStates(
             make_client,
@@ -143,108 +143,113 @@
             owner_clock,
         )
         self._acquired_s = 0.0
-        self._paused_until_s = 0.0
-        self._needs_new_number = False
+        self._backoff_until_s = 0.0
+        self._needs_new_token = False
 
     @property
     def ownership(self) -> fencing.Ownership | None:
         """The ownership in force, ``None`` when this daemon does not own the group."""
-        return self._fences.find(self._group)
+        return self._owned_groups.find(self._group)
 
-    def run_round(self, request: Request) -> None:
-        """Acquire the group if it is free, then order what is missing."""
+    def run_round(self, round_input: RoundInput) -> None:
+        """Acquire the group if it is free, then send the missing orders."""
         owned = self.ownership or self._acquire()
         if owned is None:
             return
-        self._states.read_back(request.targets)
+        self._states.read_back(round_input.targets)
         known = self._states.states.values()
-        highest = max((item.fencing_number for item in known), default=0)
+        highest = max((item.fencing_token for item in known), default=0)
         if highest > owned.fencing_token:
-            self._lose(highest)
+            self._lose_group(highest)
             return
         views = self._states.make_views(
-            owned.fencing_token, self._may_order, request.load_shares
+            owned.fencing_token, self._may_order, round_input.load_shares
         )
         self._residence.observe(views, self._clock.monotonic_s())
-        if not self._is_settled(request):
+        if not self._is_ready_to_plan(round_input):
             return
-        plan = self._compute(request, views)
-        wanted_roles = self._roles.compute(
-            request.service.model, request.targets, views, request.declared_engines
+        plan = self._compute(round_input, views)
+        desired_roles = self._roles.compute(
+            round_input.service.model,
+            round_input.targets,
+            views,
+            round_input.declared_engines,
         )
         by_name = {view.name: view for view in views}
-        sending = []
-        for target in request.targets:
+        pending = []
+        for target in round_input.targets:
             view = by_name.get(target.name)
             if view is None or not view.is_fresh or view.is_busy:
                 continue
-            orders = plans.list_orders(view, plan.wanted[target.name])
-            role = wanted_roles[target.name]
-            has_number = self._has_number(target, owned.fencing_token)
-            if orders or role != view.role or not has_number:
-                sending.append((target, orders, role))
+            orders = plans.list_orders(view, plan.desired[target.name])
+            role = desired_roles[target.name]
+            has_seen_token = self._has_seen_token(target, owned.fencing_token)
+            if orders or role != view.role or not has_seen_token:
+                pending.append((target, orders, role))
         outcomes = self._executor.map(
             lambda item: self._send_to(item[0], item[1], item[2], owned.fencing_token),
-            sending,
+            pending,
         )
         if not all(list(outcomes)):
-            self._lose(None)
+            self._lose_group(None)
 
     def _compute(
-        self, request: Request, views: abc.Sequence[plans.EngineView]
+        self, round_input: RoundInput, views: abc.Sequence[plans.EngineView]
     ) -> plans.Plan:
         group = plans.Group(
-            request.service.model.models,
+            round_input.service.model.models,
             views,
-            request.kept,
-            self._compute_targets(request, len(views)),
+            round_input.protected,
+            self._compute_desired_replicas(round_input, len(views)),
             self._residence.since_s,
         )
         limits = self._settings.placement
-        own_part = max(1, self._settings.fleet_loads // max(1, request.groups))
-        limits = dataclasses.replace(limits, max_loads=min(limits.max_loads, own_part))
+        max_own_loads = max(1, self._settings.fleet_loads // max(1, round_input.groups))
+        limits = dataclasses.replace(
+            limits, max_loads=min(limits.max_loads, max_own_loads)
+        )
         plan = placement.compute(group, limits, self._clock.monotonic_s())
-        for name, count in plan.short.items():
+        for name, count in plan.missing_replicas.items():
             counts.REPLICAS_SHORT.labels(self._group, name).set(count)
         return plan
 
-    def _compute_targets(
-        self, request: Request, engines: int
+    def _compute_desired_replicas(
+        self, round_input: RoundInput, engines: int
     ) -> abc.Mapping[str, int] | None:
-        """Return the replicas that demand asks for, ``None`` while it is not known."""
-        if request.demand_slots is None or not request.targets:
+        """Return the replicas that demand requires, ``None`` while it is unknown."""
+        if round_input.demand_slots is None or not round_input.targets:
             return None
-        self._replicas.observe(request.demand_slots, self._clock.monotonic_s())
-        slots = [target.slots for target in request.targets]
+        self._autoscaler.observe(round_input.demand_slots, self._clock.monotonic_s())
+        slots = [target.slots for target in round_input.targets]
         max_models = self._settings.placement.max_models
-        targets = self._replicas.compute(
-            request.service.model.models,
-            places=engines * max_models,
+        targets = self._autoscaler.compute(
+            round_input.service.model.models,
+            capacity=engines * max_models,
             engines=engines,
-            slots_per_place=sum(slots) / len(slots) / max_models,
+            slots_per_model=sum(slots) / len(slots) / max_models,
         )
         for name, count in targets.items():
             counts.REPLICAS_WANTED.labels(self._group, name).set(count)
         return targets
 
     def _may_order(self, target: snapshot.Target) -> bool:
-        return self._fences.may_send_order(self._group, target.checks_fencing)
+        return self._owned_groups.may_send_order(self._group, target.checks_fencing)
 
-    def _has_number(self, target: snapshot.Target, number: int) -> bool:
-        """Tell whether an engine that checks numbers has seen the own one."""
-        seen = self._states.states[target.name].fencing_number
-        return seen == number or not target.checks_fencing
+    def _has_seen_token(self, target: snapshot.Target, token: int) -> bool:
+        """Return whether an engine has seen the own token, if it checks tokens."""
+        seen = self._states.states[target.name].fencing_token
+        return seen == token or not target.checks_fencing
 
     def _acquire(self) -> fencing.Ownership | None:
         epoch = self._session.epoch
-        if epoch is None or self._clock.monotonic_s() < self._paused_until_s:
+        if epoch is None or self._clock.monotonic_s() < self._backoff_until_s:
             return None
         reading = self._store.read(fencing.TABLE, self._group)
         if isinstance(reading, result.Err):
             return None
         row = reading.ok_value
-        if row is not None and self._is_own(row, epoch) and not self._needs_new_number:
-            # The answer to an earlier acquisition under this epoch was lost.
+        if row is not None and self._is_own(row, epoch) and not self._needs_new_token:
+            # Acquired earlier under this epoch, but the answer was lost.
             return self._record(epoch, row.revision)
         if not self._may_acquire(row, epoch):
             return None
@@ -259,7 +264,7 @@
         if isinstance(outcome, result.Err):
             logs.info("group_not_acquired", group=self._group, error=outcome.err_value)
             return None
-        self._needs_new_number = False
+        self._needs_new_token = False
         return self._record(epoch, outcome.ok_value)
 
     def _is_own(self, row: store.Row, epoch: int) -> bool:
@@ -268,17 +273,17 @@
 
     def _may_acquire(self, row: store.Row | None, epoch: int) -> bool:
         if row is not None and self._is_own(row, epoch):
-            return self._needs_new_number
+            return self._needs_new_token
         if row is not None and row.value["owner"] != self._daemon:
             self._observe(str(row.value["owner"]), int(row.value["owner_epoch"]))
         return fencing.may_acquire(row, self._daemon, epoch, self._observer)
 
     def _observe(self, owner: str, epoch: int) -> None:
-        """Read the session of the owner."""
+        """Read the session of the current owner."""
         self._observer.is_expired(owner, epoch)
         started_s = self._clock.monotonic_s()
         if started_s - self._observed_s > 3 * self._settings.interval_s:
-            # After a gap, such as an outage of the store, the owner may renew first.
+            # After a gap, such as a store outage, the owner gets time to renew.
             self._observer.forget(owner)
         reading = self._store.read(lease.TABLE, owner)
         if isinstance(reading, result.Err):
@@ -286,26 +291,26 @@
         self._observed_s = self._clock.monotonic_s()
         self._observer.observe(owner, reading.ok_value, started_s, self._observed_s)
 
-    def _record(self, epoch: int, number: int) -> fencing.Ownership | None:
-        self._fences.record_acquired(self._group, epoch, number)
+    def _record(self, epoch: int, token: int) -> fencing.Ownership | None:
+        self._owned_groups.record_acquired(self._group, epoch, token)
         self._acquired_s = self._clock.monotonic_s()
         self._states.forget()
-        self._residence = residence.Residence()
-        self._replicas = replicas.ReplicaTargets(self._settings.demand)
-        logs.info("group_acquired", group=self._group, number=number, epoch=epoch)
+        self._residence = residence.ResidenceTracker()
+        self._autoscaler = replicas.ReplicaAutoscaler(self._settings.demand)
+        logs.info("group_acquired", group=self._group, number=token, epoch=epoch)
         return self.ownership
 
-    def _lose(self, number: int | None) -> None:
-        """Give the group up after an engine has shown a higher number."""
-        self._fences.record_lost(self._group)
-        self._needs_new_number = True
+    def _lose_group(self, token: int | None) -> None:
+        """Give up the group, because an engine has seen a higher token."""
+        self._owned_groups.record_lost(self._group)
+        self._needs_new_token = True
         now_s = self._clock.monotonic_s()
-        self._paused_until_s = now_s + self._settings.refused_pause_s
-        logs.warning("group_lost", group=self._group, number=number)
+        self._backoff_until_s = now_s + self._settings.refusal_backoff_s
+        logs.warning("group_lost", group=self._group, number=token)
 
-    def _is_settled(self, request: Request) -> bool:
-        """Tell whether a new owner knows enough of the engines to plan."""
-        if len(self._states.states) == len(request.targets):
+    def _is_ready_to_plan(self, round_input: RoundInput) -> bool:
+        """Return whether enough engine states are known to plan."""
+        if len(self._states.states) == len(round_input.targets):
             return True
         waited_s = self._clock.monotonic_s() - self._acquired_s
         return waited_s > self._settings.silent_after_s
@@ -315,30 +320,30 @@
         target: snapshot.Target,
         orders: abc.Sequence[plans.Order],
         role: str,
-        number: int,
+        token: int,
     ) -> bool:
-        """Send orders one after the other; return whether the number was accepted.
+        """Send orders in sequence; return whether the token was accepted.
 
         The role comes first, because it takes effect at once. Without orders the engine
-        gets the role that it has, which changes nothing but makes it refuse the orders
-        of earlier owners. The first failure ends the row: the next round reads back
-        what took effect.
+        is sent its current role, which changes nothing but makes it refuse the orders
+        of earlier owners. The first failure ends the sequence: the next round reads
+        back what took effect.
         """
         client = self._make_client(target)
         is_changed = role != self._states.states[target.name].role
         if is_changed or not orders:
-            if not self._may_send(target, number):
+            if not self._may_send(target, token):
                 return True
-            outcome = client.send_order(number, "set_role", role=role)
+            outcome = client.send_order(token, "set_role", role=role)
             if is_changed:
                 counts.record_role(self._group, target.name, role, _describe(outcome))
             if isinstance(outcome, result.Err):
                 return not _is_refused(outcome)
         for order in orders:
-            if not self._may_send(target, number):
+            if not self._may_send(target, token):
                 return True
             self._states.record_sent(target.name, order)
-            outcome = client.send_order(number, order.action, **_make_arguments(order))
+            outcome = client.send_order(token, order.action, **_make_arguments(order))
             counts.record_order(self._group, order, _describe(outcome))
             if _is_refused(outcome):
                 return False
@@ -347,14 +352,14 @@
                 return True
         return True
 
-    def _may_send(self, target: snapshot.Target, number: int) -> bool:
-        """Tell whether an order would be over before the own term ends."""
+    def _may_send(self, target: snapshot.Target, token: int) -> bool:
+        """Return whether a call would complete before the own term ends."""
         owned = self.ownership
-        if owned is None or owned.fencing_token != number:
+        if owned is None or owned.fencing_token != token:
             return False
         if self._session.compute_remaining_s() <= self._settings.call_timeout_s:
             return False
-        return self._fences.may_send_order(self._group, target.checks_fencing)
+        return self._owned_groups.may_send_order(self._group, target.checks_fencing)
 
 
 def _make_arguments(order: plans.Order) -> dict[str, str]:
@@ -371,7 +376,7 @@
 
 
 def _describe(outcome: result.Result[None, engine.EngineError]) -> str:
-    """Return the label of the outcome; ``unknown`` means that no answer came."""
+    """Return the outcome label; ``unknown`` means that the answer was lost."""
     if isinstance(outcome, result.Ok):
         return "accepted"
     return "refused" if _is_refused(outcome) else "unknown"
--- a/src/endivevane/orders/plans.py
+++ b/src/endivevane/orders/plans.py
@@ -1,4 +1,4 @@
-"""What the placement decisions read and return, and the orders that carry them out."""
+"""Input and output of the placement, and the orders that implement a plan."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementSettings:
-    """Limits on changes.
+    """Limits of the placement.
 
-    :param max_models: models that an engine holds together; a declared model that is
-        loaded already is never removed for this limit alone
-    :param max_loads: engines of a service that load at the same time, for the rate
+    :param max_models: models loaded per engine; a declared model that is already
+        loaded is never unloaded for this limit alone
+    :param max_loads: engines of a service that load concurrently, because of the rate
         limit of the weight store
-    :param max_reloading_share: share of the engines of a service that change at the
-        same time; at least one may
+    :param max_reloading_share: share of the engines of a service that change
+        concurrently; at least one may
     :param residence_s: time that a model stays loaded before it may be unloaded
-    :param max_demand_loads: loads at the same time that only demand asks for; the
-        rest of ``max_loads`` stays free for models that lack declared replicas
+    :param max_demand_loads: concurrent loads that only demand requires; the rest of
+        ``max_loads`` is reserved for models with missing declared replicas
     """
 
     max_models: int = 2
@@ -36,15 +36,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineView:
-    """What is known of a live engine that is not leaving.
+    """State of a live engine that is not leaving.
 
-    :param models: what the last read-back showed
-    :param loading: models that were ordered and are not shown yet
+    :param models: loaded models, as last read
+    :param loading: models that were ordered and are not reported as loaded yet
     :param is_fresh: whether it answered and may get orders now
     :param is_busy: whether orders are in progress
-    :param is_steady: whether no order of anyone can be under way to it
+    :param is_quiescent: whether no order from any owner can be in flight to it
     :param load_share: used share of the slots
-    :param role: the role that the last read-back showed
+    :param role: role as last read
     """
 
     name: str
@@ -53,7 +53,7 @@
     loading: frozenset[Key] = frozenset()
     is_fresh: bool = True
     is_busy: bool = False
-    is_steady: bool = True
+    is_quiescent: bool = True
     load_share: float = 0.0
     role: str = "both"
 
@@ -63,17 +63,20 @@
     """The engines and the declared models of a service.
 
     :param declared: models of the service's document
-    :param kept: other names that are never unloaded, such as models that another
+    :param protected: other models that are never unloaded, such as those that another
         service declares for the same engines
-    :param targets: replicas by model that demand asks for, at least ``min_replicas``;
-        ``None`` while demand is not known, when all loaded models count as in use
-    :param since_s: monotonic time since when a model is loaded, by engine and key
+    :param desired_replicas: replicas by model that demand requires, at least
+        ``min_replicas``; ``None`` while demand is unknown and all loaded replicas
+        count as in use
+    :param since_s: monotonic time of the load of a model, by engine and key
     """
 
     declared: tuple[models.LanguageModelModel, ...]
     engines: abc.Sequence[EngineView]
-    kept: frozenset[str] = frozenset()
-    targets: abc.Mapping[str, int] | None = dataclasses.field(default_factory=dict)
+    protected: frozenset[str] = frozenset()
+    desired_replicas: abc.Mapping[str, int] | None = dataclasses.field(
+        default_factory=dict
+    )
     since_s: abc.Mapping[tuple[str, Key], float] = dataclasses.field(
         default_factory=dict
     )
@@ -81,19 +84,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """The wanted state.
+    """Desired state of the engines.
 
-    :param wanted: by engine, the adapters of each model that it should hold
-    :param short: replicas that each declared model lacks
+    :param desired: models of each engine, with their adapters
+    :param missing_replicas: number of missing replicas of each declared model
     """
 
-    wanted: abc.Mapping[str, abc.Mapping[Key, frozenset[str]]]
-    short: abc.Mapping[str, int]
+    desired: abc.Mapping[str, abc.Mapping[Key, frozenset[str]]]
+    missing_replicas: abc.Mapping[str, int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One change at an engine.
+    """One change of an engine.
 
     :param adapter: empty for orders about the model
     """
@@ -106,31 +109,32 @@
 
 
 def list_keys(view: EngineView) -> list[Key]:
-    """Return the models that an engine has loaded."""
+    """Return the loaded models of an engine."""
     return [(item.model, item.version) for item in view.models]
 
 
 def name_adapter(model: str, adapter: str) -> str:
-    """Return the name by which engines and callers know an adapter."""
+    """Return the name of an adapter as engines and callers use it."""
     return f"{model}:{adapter}"
 
 
 def list_orders(
-    view: EngineView, wanted: abc.Mapping[Key, frozenset[str]]
+    view: EngineView, desired: abc.Mapping[Key, frozenset[str]]
 ) -> tuple[Order, ...]:
-    """Return the orders that lead from what an engine holds to the wanted state.
+    """Return the orders that bring an engine to the desired state.
 
-    Unloading comes first, as a load may need the room; adapters follow their model.
+    Unloads come first, as a load may need the room they free; adapters follow their
+    model.
     """
     held = {(item.model, item.version): set(item.adapters) for item in view.models}
-    orders = [Order(view.name, "unload_model", *key) for key in held.keys() - wanted]
+    orders = [Order(view.name, "unload_model", *key) for key in held.keys() - desired]
     orders += [
         Order(view.name, "load_model", *key)
-        for key in sorted(wanted.keys() - held - view.loading)
+        for key in sorted(desired.keys() - held - view.loading)
     ]
-    for key in sorted(held.keys() & wanted.keys()):
-        for adapter in sorted(held[key] - wanted[key]):
+    for key in sorted(held.keys() & desired.keys()):
+        for adapter in sorted(held[key] - desired[key]):
             orders.append(Order(view.name, "unload_adapter", *key, adapter))
-        for adapter in sorted(wanted[key] - held[key]):
+        for adapter in sorted(desired[key] - held[key]):
             orders.append(Order(view.name, "load_adapter", *key, adapter))
     return tuple(orders)
--- a/src/endivevane/orders/replicas.py
+++ b/src/endivevane/orders/replicas.py
@@ -1,4 +1,4 @@
-"""Decides how many replicas of each model demand asks for."""
+"""Autoscaling of the replicas of each model by demand."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemandSettings:
-    """How replicas follow demand.
+    """Parameters of the autoscaling.
 
-    :param fill_share: share of a replica's slots that demand should use
-    :param hysteresis_share: change of demand below this share moves nothing
-    :param fall_after_s: time that demand must stay lower before fewer replicas are
-        asked for; an oscillation with a shorter period moves nothing
+    :param fill_share: target utilisation of a replica's slots
+    :param hysteresis_share: relative changes of demand below this are ignored
+    :param fall_after_s: time that demand must stay lower before scaling down; an
+        oscillation with a shorter period is ignored
     """
 
     fill_share: float = 0.7
@@ -25,11 +25,11 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
-    """The demand that counts for a model.
+class _StabilisedDemand:
+    """Stabilised demand of a model.
 
     :param slots: the value in force
-    :param low_since_s: since when demand is lower, ``None`` when it is not
+    :param low_since_s: start of the period of lower demand, ``None`` outside of one
     :param low_peak_slots: highest demand since then
     """
 
@@ -38,20 +38,20 @@
     low_peak_slots: float = 0.0
 
 
-class ReplicaTargets:
-    """Turns demand into numbers of replicas that change seldom.
+class ReplicaAutoscaler:
+    """Converts demand into replica counts, with hysteresis.
 
-    A rise takes effect at once and a fall only after it has lasted, because a replica
-    too many costs room but one too few costs requests.
+    Scaling up is immediate and scaling down is delayed, because a surplus replica only
+    costs capacity, but a missing one costs requests.
     """
 
     def __init__(self, settings: DemandSettings) -> None:
         self._settings = settings
-        self._held: dict[str, _Held] = {}
+        self._demand: dict[str, _StabilisedDemand] = {}
 
     def observe(self, demand_slots: abc.Mapping[str, float], now_s: float) -> None:
-        """Take in the present demand in slots by model."""
-        for name in [name for name in self._held if name not in demand_slots]:
+        """Record the current demand in slots by model."""
+        for name in [name for name in self._demand if name not in demand_slots]:
             self._observe(name, 0.0, now_s)
         for name, slots in demand_slots.items():
             self._observe(name, slots, now_s)
@@ -59,51 +59,52 @@
     def compute(
         self,
         declared: abc.Sequence[models.LanguageModelModel],
-        places: int,
+        capacity: int,
         engines: int,
-        slots_per_place: float,
+        slots_per_model: float,
     ) -> dict[str, int]:
         """Return the replicas of each declared model.
 
-        Each model gets its ``min_replicas`` first. The places left go one by one to
-        the model with the most demand for each replica (D'Hondt's method), so that a
+        Each model gets its ``min_replicas`` first. The remaining capacity goes one by
+        one to the model with the most demand per replica (D'Hondt method), so that a
         shortage is shared.
 
-        :param places: models that all engines together can hold
-        :param engines: bound on the replicas of one model
+        :param capacity: number of models that all engines together can hold
+        :param engines: upper bound for the replicas of one model
         """
-        targets = {item.name: min(item.min_replicas, engines) for item in declared}
-        usable_slots = max(slots_per_place * self._settings.fill_share, 0.001)
-        wanted = {
-            name: min(engines, math.ceil(self._read(name) / usable_slots))
-            for name in targets
+        counts = {item.name: min(item.min_replicas, engines) for item in declared}
+        usable_slots = max(slots_per_model * self._settings.fill_share, 0.001)
+        desired = {
+            name: min(engines, math.ceil(self._get_slots(name) / usable_slots))
+            for name in counts
         }
-        for _ in range(places - sum(targets.values())):
-            lacking = [name for name in targets if targets[name] < wanted[name]]
-            if not lacking:
+        for _ in range(capacity - sum(counts.values())):
+            short = [name for name in counts if counts[name] < desired[name]]
+            if not short:
                 break
             chosen = max(
-                lacking, key=lambda name: (self._read(name) / (targets[name] + 1), name)
+                short,
+                key=lambda name: (self._get_slots(name) / (counts[name] + 1), name),
             )
-            targets[chosen] += 1
-        return targets
+            counts[chosen] += 1
+        return counts
 
-    def _read(self, name: str) -> float:
-        held = self._held.get(name)
-        return held.slots if held is not None else 0.0
+    def _get_slots(self, name: str) -> float:
+        demand = self._demand.get(name)
+        return demand.slots if demand is not None else 0.0
 
     def _observe(self, name: str, slots: float, now_s: float) -> None:
-        held = self._held.setdefault(name, _Held(slots))
+        demand = self._demand.setdefault(name, _StabilisedDemand(slots))
         share = self._settings.hysteresis_share
-        if slots > held.slots * (1 + share):
-            held.slots = slots
-        if slots >= held.slots * (1 - share):
-            held.low_since_s = None
+        if slots > demand.slots * (1 + share):
+            demand.slots = slots
+        if slots >= demand.slots * (1 - share):
+            demand.low_since_s = None
             return
-        if held.low_since_s is None:
-            held.low_since_s = now_s
-            held.low_peak_slots = slots
-        held.low_peak_slots = max(held.low_peak_slots, slots)
-        if now_s - held.low_since_s >= self._settings.fall_after_s:
-            held.slots = held.low_peak_slots
-            held.low_since_s = None
+        if demand.low_since_s is None:
+            demand.low_since_s = now_s
+            demand.low_peak_slots = slots
+        demand.low_peak_slots = max(demand.low_peak_slots, slots)
+        if now_s - demand.low_since_s >= self._settings.fall_after_s:
+            demand.slots = demand.low_peak_slots
+            demand.low_since_s = None
--- a/src/endivevane/orders/roles.py
+++ b/src/endivevane/orders/roles.py
@@ -1,4 +1,4 @@
-"""Decides the role of each engine of a service."""
+"""Assignment of roles to the engines of a service."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 BOTH = "both"
 PREFILL = "prefill"
-# With this share of the engines lost, all others are needed for whole requests.
+# With this share of the engines lost, the others must all serve whole requests.
 _LOST_SHARE = 0.5
-# Roles are given again above this share, so that one engine does not switch them.
+# Roles resume at this share of live engines; the gap is a hysteresis, so that a single
+# engine does not toggle them.
 _RESTORED_SHARE = 0.75
 
 
 class RoleAssigner:
-    """Gives engines their declared role, or decides it.
+    """Assigns engines their declared role, or chooses one.
 
-    Remembers whether roles are suspended because half of the engines are lost.
+    Roles are suspended while half of the engines are lost.
     """
 
     def __init__(self) -> None:
@@ -36,7 +37,7 @@
         """Return the role of each live engine by name.
 
         :param targets: targets of the service that are not leaving
-        :param declared_engines: engines of the document that the group owns
+        :param declared_engines: number of declared engines that the group owns
         """
         if len(views) <= (1 - _LOST_SHARE) * declared_engines:
             self._is_suspended = True
@@ -50,7 +51,7 @@
         free = [view for view in views if view.name not in declared]
         count = math.floor(service.roles.prefill_share * len(views))
         _choose_prefill(service, views, free, count, roles)
-        _put_back(service, views, roles)
+        _revert_unserved(service, views, roles)
         return roles
 
 
@@ -61,7 +62,7 @@
     count: int,
     roles: dict[str, str],
 ) -> None:
-    """Give the prefill role to engines whose models keep their declared replicas."""
+    """Assign the prefill role where the models keep their declared replicas."""
     ranked = sorted(
         free,
         key=lambda view: (
@@ -80,12 +81,12 @@
                 roles[view.name] = BOTH
 
 
-def _put_back(
+def _revert_unserved(
     service: models.ServiceModel,
     views: abc.Sequence[plans.EngineView],
     roles: dict[str, str],
 ) -> None:
-    """Let a model that only prefill engines hold be served by them."""
+    """Revert the prefill engines of a model that no other engine holds."""
     for declared in service.models:
         holders = _list_holders(declared.name, views)
         if all(roles[name] == PREFILL for name in holders):
--- a/src/endivevane/orders/states.py
+++ b/src/endivevane/orders/states.py
@@ -1,4 +1,4 @@
-"""What the owner of an engine group knows of its engines."""
+"""States of the engines of a group, as its owner knows them."""
 
 from __future__ import annotations
 
@@ -20,39 +20,39 @@
     """The calls of :class:`engine.EngineClient` that orders need."""
 
     def fetch_state(self) -> result.Result[dict[str, typing.Any], engine.EngineError]:
-        """Return what the engine has loaded."""
+        """Return the state of the engine."""
 
     def send_order(
         self, fencing_token: int, action: str, **arguments: str
     ) -> result.Result[None, engine.EngineError]:
-        """Send an order with its fencing number."""
+        """Send an order with its fencing token."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """The last state that an engine has shown.
+    """The last state that an engine reported.
 
     :param read_s: monotonic time of the read
-    :param is_fresh: whether the last try to read it succeeded
+    :param is_fresh: whether the latest read succeeded
     """
 
     target: snapshot.Target
     models: tuple[engine.LoadedModel, ...]
     role: str
-    fencing_number: int
+    fencing_token: int
     is_busy: bool
     read_s: float
     is_fresh: bool = True
 
 
 class EngineStates:
-    """Reads back the engines of a group and remembers what was ordered.
+    """Reads the states of the engines of a group and tracks the sent orders.
 
     :param make_client: returns the client of an engine
     :param executor: runs the calls
-    :param silent_after_s: time without an answer after which an engine is given up
-    :param longest_order_s: time after which an order without an answer is certainly
-        over
+    :param silent_after_s: time without an answer after which an engine is dropped
+    :param longest_order_s: time after which an unanswered order can no longer take
+        effect
     """
 
     def __init__(
@@ -70,21 +70,21 @@
         self._clock = states_clock
         self._states: dict[str, EngineState] = {}
         self._loading: dict[str, set[plans.Key]] = {}
-        self._unsure_until_s: dict[str, float] = {}
+        self._uncertain_until_s: dict[str, float] = {}
 
     @property
     def states(self) -> abc.Mapping[str, EngineState]:
-        """The engines that are known, by name."""
+        """The known engine states by name."""
         return self._states
 
     def forget(self) -> None:
-        """Forget everything, for a new term of ownership."""
+        """Discard all state, for a new term of ownership."""
         self._states.clear()
         self._loading.clear()
-        self._unsure_until_s.clear()
+        self._uncertain_until_s.clear()
 
     def record_sent(self, target: str, order: plans.Order) -> None:
-        """Record an order that may reach its engine from now on."""
+        """Record an order just before it is sent."""
         if order.action == "load_model":
             key = (order.model, order.version)
             self._loading.setdefault(target, set()).add(key)
@@ -92,44 +92,44 @@
     def record_unknown(self, target: str) -> None:
         """Record that the answer to an order was lost."""
         until_s = self._clock.monotonic_s() + self._longest_order_s
-        self._unsure_until_s[target] = until_s
+        self._uncertain_until_s[target] = until_s
 
     def read_back(self, targets: abc.Sequence[snapshot.Target]) -> None:
-        """Read what all engines have loaded."""
+        """Read the states of all engines."""
         names = {target.name for target in targets}
         for name in [name for name in self._states if name not in names]:
             self._drop(name)
         for target, state in self._executor.map(self._fetch, targets):
             if state is None:
-                self._record_silence(target.name)
+                self._record_unresponsive(target.name)
                 continue
-            shown = {(item.model, item.version) for item in state.models}
-            # An idle engine that does not show a model has not got its order.
+            reported = {(item.model, item.version) for item in state.models}
+            # An idle engine that does not report an ordered model missed the order.
             ordered = self._loading.get(target.name, set()) if state.is_busy else set()
-            self._loading[target.name] = ordered - shown
+            self._loading[target.name] = ordered - reported
             self._states[target.name] = state
 
     def make_views(
         self,
-        number: int,
+        token: int,
         may_order: abc.Callable[[snapshot.Target], bool],
         load_shares: abc.Mapping[str, float],
     ) -> list[plans.EngineView]:
-        """Return the engines as placement sees them.
+        """Return the engine states as input of the placement.
 
-        An engine that checks numbers is steady only after it has seen the own number:
-        until then it would still accept a late order of an earlier owner.
+        An engine that checks fencing tokens is quiescent only after it has seen the
+        own token: until then it would accept a late order from an earlier owner.
 
-        :param number: the own fencing number
+        :param token: the own fencing token
         :param may_order: whether an engine may get orders now
         """
         now_s = self._clock.monotonic_s()
         views = []
         for name, state in self._states.items():
-            is_fenced = (
-                state.fencing_number == number or not state.target.checks_fencing
+            has_seen_token = (
+                state.fencing_token == token or not state.target.checks_fencing
             )
-            is_unsure = now_s < self._unsure_until_s.get(name, now_s)
+            is_uncertain = now_s < self._uncertain_until_s.get(name, now_s)
             is_fresh = state.is_fresh and may_order(state.target)
             view = plans.EngineView(
                 name,
@@ -138,9 +138,9 @@
                 frozenset(self._loading.get(name, ())),
                 is_fresh=is_fresh,
                 is_busy=state.is_busy,
-                is_steady=is_fresh
-                and is_fenced
-                and not is_unsure
+                is_quiescent=is_fresh
+                and has_seen_token
+                and not is_uncertain
                 and not state.is_busy,
                 load_share=load_shares.get(name, 0.0),
                 role=state.role,
@@ -161,7 +161,7 @@
             logs.warning("engine_state_malformed", target=target.name, error=error)
             return target, None
 
-    def _record_silence(self, name: str) -> None:
+    def _record_unresponsive(self, name: str) -> None:
         state = self._states.get(name)
         if state is None:
             return
@@ -174,7 +174,7 @@
     def _drop(self, name: str) -> None:
         self._states.pop(name, None)
         self._loading.pop(name, None)
-        # A time for doubt stays: the engine may come back with the order under way.
+        # Keep _uncertain_until_s: the engine may return with the order still in flight.
 
 
 def _parse_state(
--- a/src/endivevane/orders/task.py
+++ b/src/endivevane/orders/task.py
@@ -1,4 +1,4 @@
-"""The task that keeps the declared models loaded on the engines."""
+"""Task that keeps the declared models loaded on the engines."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from endivevane.external import engine, http_pool
 from endivevane.orders import counts, demand, orders
 
-# The second choice tries to own a group this many rounds later than the first, so that
-# two daemons rarely compete when both see the group free.
+# The second-ranked daemon tries to acquire a free group this many rounds after the
+# first, so that two daemons rarely compete for it.
 _SECOND_CHOICE_ROUNDS = 8
 
 
 class _SessionView:
-    """The session of the cluster task as orders see it."""
+    """Adapter from the session of the cluster task to :class:`orders.Session`."""
 
     def __init__(
         self, read: abc.Callable[[], sessions.Session], view_clock: clock.Clock
@@ -30,11 +30,11 @@
 
     @property
     def epoch(self) -> int | None:
-        """The epoch in force, ``None`` after a lapse."""
+        """The epoch in force, ``None`` after the session expired."""
         return self._read().epoch
 
     def compute_remaining_s(self) -> float:
-        """Return the rest of the term, 0 after a lapse."""
+        """Return the time left in the term, 0 after its expiry."""
         current = self._read()
         if not current.is_valid:
             return 0.0
@@ -42,7 +42,7 @@
 
 
 class OrdersTask:
-    """A thread that gives orders to the engine groups that this daemon owns.
+    """Thread that sends orders to the engine groups that this daemon owns.
 
     :param daemon: name of this daemon
     :param read_session: returns this daemon's session
@@ -50,8 +50,8 @@
     :param list_daemons: returns the names of the live daemons
     :param get_leaving: returns the names of VMs that are leaving
     :param get_load_share: returns the used share of an engine's slots
-    :param exchange: brings the demand of all daemons here
-    :param send: sends a message to another daemon, with its kind and body
+    :param exchange: aggregates the demand of all daemons
+    :param send: sends a message to another daemon, given its kind and body
     """
 
     def __init__(
@@ -94,12 +94,12 @@
     def drain(self, deadline_s: float) -> None:
         """Start no further round.
 
-        :param deadline_s: unused; a round takes a few calls at most
+        :param deadline_s: unused; a round takes only a few calls
         """
         self._stopped.set()
 
     def stop(self) -> None:
-        """End the rounds; waits for the calls of the current one."""
+        """Stop the rounds and wait for the calls of the current one."""
         self._stopped.set()
         if self._thread.is_alive():
             self._thread.join()
@@ -110,7 +110,7 @@
             try:
                 self._run_rounds()
             except Exception as error:
-                # One malformed answer must not end the orders of this daemon.
+                # A malformed answer must not stop the thread.
                 logs.error("orders_round_failed", error=repr(error))
 
     def _run_rounds(self) -> None:
@@ -131,14 +131,14 @@
                 return
             owner = self._owners.get(name) or self._make_owner(name)
             self._owners[name] = owner
-            if owner.ownership is None and not self._is_my_turn(name, daemons):
+            if owner.ownership is None and not self._is_candidate(name, daemons):
                 continue
-            owner.run_round(self._make_request(current, service, daemons))
+            owner.run_round(self._make_round_input(current, service, daemons))
         owned = sum(item.ownership is not None for item in self._owners.values())
         counts.GROUPS_OWNED.set(owned)
 
-    def _is_my_turn(self, group: str, daemons: abc.Mapping[str, float]) -> bool:
-        """Tell whether this daemon should try to own a group in this round."""
+    def _is_candidate(self, group: str, daemons: abc.Mapping[str, float]) -> bool:
+        """Return whether this daemon should try to acquire a group in this round."""
         ranked = rendezvous.choose_subset(group, daemons, 2)
         if self._daemon not in ranked:
             self._skipped_rounds.pop(group, None)
@@ -164,16 +164,16 @@
     def _make_client(self, target: snapshot.Target) -> engine.EngineClient:
         return make_client(target.address, self._settings, self._clock)
 
-    def _make_request(
+    def _make_round_input(
         self,
         current: snapshot.Snapshot,
         service: snapshot.Service,
         daemons: abc.Collection[str],
-    ) -> orders.Request:
+    ) -> orders.RoundInput:
         leaving = frozenset(self._get_leaving())
         owned = _list_targets(current, service)
         targets = [target for target in owned if target.name not in leaving]
-        kept = frozenset(
+        protected = frozenset(
             item.name
             for other in current.services.values()
             if other.name != service.name
@@ -184,18 +184,18 @@
         if self._exchange is not None:
             demand_slots = self._exchange.compute_slots(service.name, daemons)
         groups = sum(not other.is_plain for other in current.services.values())
-        return orders.Request(
-            service, targets, kept, demand_slots, shares, groups, len(owned)
+        return orders.RoundInput(
+            service, targets, protected, demand_slots, shares, groups, len(owned)
         )
 
 
 def make_client(
     address: types.Address, settings: orders.OrdersSettings, client_clock: clock.Clock
 ) -> engine.EngineClient:
-    """Return a client that sends each order once.
+    """Return a client that sends each order at most once.
 
-    A pool repeats a call on a reused connection that breaks, so none is reused: an
-    order without an answer must be read back instead.
+    The pool resends a call when a reused connection breaks, so connections are not
+    reused: an unanswered order must be read back instead.
     """
     limits = http_pool.PoolSettings(
         connect_timeout_s=settings.call_timeout_s,
@@ -208,10 +208,10 @@
 def _list_targets(
     current: snapshot.Snapshot, service: snapshot.Service
 ) -> abc.Sequence[snapshot.Target]:
-    """Return the engines that the group of a service owns.
+    """Return the engines that belong to the group of a service.
 
-    An engine that several services name belongs to the first of them by name: two
-    groups have different fencing numbers, and the engine would refuse one of them.
+    An engine listed by several services belongs to the first of them by name: two
+    groups have different fencing tokens, and the engine would refuse one of them.
     """
     taken = {
         target.address
