--- a/features/serving_process.feature
+++ b/features/serving_process.feature
@@ -60,7 +60,7 @@
   Scenario: Online requests are served while the platform's store is down
     Given a store, 2 targets and 2 daemons
     When the platform's store is down
-    And 1.5 s have passed
+    And the client waits 1.5 s
     And a client requests a stream from the first daemon
     Then the client has received the complete stream
 
--- a/features/steps/serving_process_steps.py
+++ b/features/steps/serving_process_steps.py
@@ -232,7 +232,7 @@
     time.sleep(1.0)
 
 
-@when("{seconds:g} s have passed")
+@when("the client waits {seconds:g} s")
 def step_wait(context, seconds):
     time.sleep(seconds)
 
