--- a/src/endivevane/__init__.py
+++ b/src/endivevane/__init__.py
@@ -1,3 +1,3 @@
-"""Serve online and batch LLM inference from one shared fleet."""
+"""Serving system for online and batch LLM inference on a shared fleet."""
 
 __version__ = "0.1.0"
--- a/src/endivevane/exceptions.py
+++ b/src/endivevane/exceptions.py
@@ -1,6 +1,6 @@
 """The exception hierarchy of the package.
 
-Each class carries its data as attributes and formats its own message.
+Each class stores its data in attributes and builds its message from them.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 
 
 class EndivevaneError(Exception):
-    """Base class of every failure that the package reports."""
+    """Base class of all exceptions of the package."""
 
     def format_message(self) -> str:
-        """Return a one-line description for people."""
+        """Return a human-readable message."""
         return str(self)
 
     def __str__(self) -> str:
@@ -22,11 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InputProblem:
-    """One problem in a file that a person wrote.
+    """One problem in a user-written file.
 
     :param file: path of the file
-    :param key: dotted path of the key, empty when the whole file is meant
-    :param reason: what is wrong, in one sentence
+    :param key: dotted path of the key, empty if the problem concerns the whole file
+    :param reason: description of the problem in one sentence
     """
 
     file: str
@@ -39,9 +39,9 @@
 
 
 class InputError(EndivevaneError):
-    """A file that a person wrote is invalid.
+    """A user-written file is invalid.
 
-    :param problems: every problem that was found, in file order
+    :param problems: all problems found, in file order
     """
 
     def __init__(self, problems: list[InputProblem]) -> None:
@@ -54,7 +54,7 @@
 
 
 class SettingsError(InputError):
-    """The settings file of a daemon or of the command is invalid."""
+    """The settings file of a daemon or of the command-line tool is invalid."""
 
 
 class ConfigurationError(InputError):
@@ -62,10 +62,10 @@
 
 
 class PublishConflict(EndivevaneError):
-    """Another publisher changed the same document first.
+    """Another publisher changed the document since this publisher read it.
 
     :param document: key of the document, for example ``services/kernel-llm``
-    :param expected_revision: row revision that this publisher started from
+    :param expected_revision: row revision that this publisher's change is based on
     :param actual_revision: row revision found in the store
     """
 
@@ -78,7 +78,7 @@
         self.actual_revision = actual_revision
 
     def format_message(self) -> str:
-        """Return what changed and what to do next."""
+        """Return the conflicting revisions and how to resolve the conflict."""
         return (
             f"{self.document} was changed by another publisher: expected revision "
             f"{self.expected_revision}, found {self.actual_revision}; "
@@ -87,10 +87,10 @@
 
 
 class ProtocolError(EndivevaneError):
-    """A peer or an outside system sent something that its protocol forbids.
+    """A peer or an external system sent data that violates its protocol.
 
     :param source: name or address of the sender
-    :param detail: what was wrong
+    :param detail: description of the violation
     """
 
     def __init__(self, source: str, detail: str) -> None:
@@ -99,5 +99,5 @@
         self.detail = detail
 
     def format_message(self) -> str:
-        """Return the sender and the problem."""
+        """Return a message with the sender and the violation."""
         return f"unexpected data from {self.source}: {self.detail}"
--- a/src/endivevane/logs.py
+++ b/src/endivevane/logs.py
@@ -10,40 +10,40 @@
 
 from absl import flags, logging
 
-_NEEDS_QUOTES = frozenset(' "=\n\t')
+_QUOTED_CHARACTERS = frozenset(' "=\n\t')
 
 Observer = abc.Callable[[str, abc.Mapping[str, object]], None]
 _observers: list[Observer] = []
-# Lines a second of one event, and how many may come at once.
+# Rate limit of each event: sustained lines per second and maximum burst.
 _LINES_PER_S = 40.0
-_LINES_AT_ONCE = 120.0
+_MAX_BURST_LINES = 120.0
 
 
-class _Limiter:
-    """Admits a bounded number of lines a second for each event."""
+class _RateLimiter:
+    """Token bucket per event that limits the rate of its log lines."""
 
     def __init__(self) -> None:
-        # Event -> (lines that may come now, time of the last look, lines left out).
-        self._states: dict[str, tuple[float, float, int]] = {}
+        # Event -> (tokens, time of the last refill, number of suppressed lines).
+        self._buckets: dict[str, tuple[float, float, int]] = {}
 
     def admit(self, event: str) -> int | None:
-        """Return the lines left out before this one, ``None`` if it is left out."""
+        """Return the lines suppressed before this one, ``None`` to suppress it."""
         now_s = time.monotonic()
-        start = (_LINES_AT_ONCE, now_s, 0)
-        lines, seen_s, left_out = self._states.get(event, start)
-        lines = min(_LINES_AT_ONCE, lines + (now_s - seen_s) * _LINES_PER_S)
-        if lines < 1.0:
-            self._states[event] = (lines, now_s, left_out + 1)
+        full_bucket = (_MAX_BURST_LINES, now_s, 0)
+        tokens, refilled_s, left_out = self._buckets.get(event, full_bucket)
+        tokens = min(_MAX_BURST_LINES, tokens + (now_s - refilled_s) * _LINES_PER_S)
+        if tokens < 1.0:
+            self._buckets[event] = (tokens, now_s, left_out + 1)
             return None
-        self._states[event] = (lines - 1.0, now_s, 0)
+        self._buckets[event] = (tokens - 1.0, now_s, 0)
         return left_out
 
 
-_limiter = _Limiter()
+_rate_limiter = _RateLimiter()
 
 
 class NonBlockingStream:
-    """Writes lines to a descriptor and drops those that would have to wait.
+    """Writes lines to a file descriptor and drops those that would block.
 
     :ivar dropped: number of lines dropped
     """
@@ -54,7 +54,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write a line, or count it as dropped."""
+        """Write a line; on failure, count it as dropped."""
         try:
             os.write(self._descriptor, text.encode())
         except OSError:
@@ -62,16 +62,16 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing, as nothing is kept back."""
+        """Do nothing, as writes are not buffered."""
 
     def close(self) -> None:
-        """Do nothing, as the descriptor belongs to the process."""
+        """Do nothing, as the file descriptor belongs to the process."""
 
 
 def add_observer(observer: Observer) -> None:
-    """Call a function with the name and the fields of every event.
+    """Register a function to call with the name and the fields of every event.
 
-    :param observer: must return fast and must be thread-safe
+    :param observer: must return quickly and be thread-safe
     """
     _observers.append(observer)
 
@@ -80,14 +80,14 @@
     """Return ``event=NAME key=value ...`` with quotes where needed.
 
     :param event: name of the event in snake case
-    :param fields: values; ``None`` values are left out
+    :param fields: values; ``None`` values are omitted
     """
     parts = [f"event={event}"]
     for key, value in fields.items():
         if value is None:
             continue
         text = f"{value:.6g}" if isinstance(value, float) else str(value)
-        if not text or _NEEDS_QUOTES.intersection(text):
+        if not text or _QUOTED_CHARACTERS.intersection(text):
             escaped = text.replace("\\", "\\\\").replace('"', '\\"')
             text = '"' + escaped.replace("\n", "\\n") + '"'
         parts.append(f"{key}={text}")
@@ -101,21 +101,21 @@
 
 
 def limited_info(event: str, **fields: object) -> None:
-    """Log an event that may come often; beyond a rate only its count is kept."""
-    left_out = _limiter.admit(event)
+    """Log a frequent event; lines above the rate limit are only counted."""
+    left_out = _rate_limiter.admit(event)
     if left_out is None:
         return
     info(event, **fields, left_out=left_out or None)
 
 
 def warning(event: str, **fields: object) -> None:
-    """Log an event that an operator may want to know of."""
+    """Log an event that may need an operator's attention."""
     _notify(event, fields)
     logging.warning("%s", format_event(event, **fields))
 
 
 def error(event: str, **fields: object) -> None:
-    """Log a failure that needs an operator."""
+    """Log a failure that requires an operator to act."""
     _notify(event, fields)
     logging.error("%s", format_event(event, **fields))
 
@@ -125,7 +125,7 @@
         try:
             observer(event, fields)
         except Exception as error:
-            # Observers are code of others; a fault there must not end what is logged.
+            # An exception in an observer must not reach the caller or stop the logging.
             text = format_event("log_observer_fault", observed=event, cause=repr(error))
             logging.error("%s", text)
 
@@ -134,7 +134,7 @@
     """Formats a record as ``ts=... level=... event=...``."""
 
     def format(self, record: std_logging.LogRecord) -> str:
-        """Return the line of one record."""
+        """Return the log line of a record."""
         message = record.getMessage()
         if not message.startswith("event="):
             message = format_event("log", logger=record.name, text=message)
@@ -146,25 +146,25 @@
 
 
 def configure(level: str, stream: NonBlockingStream | None = None) -> None:
-    """Send log lines to a stream.
+    """Configure the log level, the line format and the output stream.
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``
-    :param stream: where the lines go, standard error by default
+    :param stream: output stream, standard error by default
     """
-    # The daemon parses its arguments with argparse; without this absl warns that its
-    # flags are not parsed and ignores the handler's stream.
+    # The daemon parses its arguments with argparse. Unless absl's flags are marked as
+    # parsed, absl logs a warning and ignores the handler's stream.
     flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
     handler.python_handler.stream = stream or sys.stderr
     handler.setFormatter(_LineFormatter())
     logging.use_absl_handler()
     logging.set_verbosity(level)
-    # Waitress logs each queued request as a warning, which would drown the events.
+    # Waitress logs a warning for each queued request, which would flood the log.
     std_logging.getLogger("waitress.queue").setLevel(std_logging.ERROR)
 
 
 def set_level(level: str) -> None:
-    """Change what is logged.
+    """Change the log level.
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``
     """
--- a/src/endivevane/metrics.py
+++ b/src/endivevane/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a daemon."""
+"""Prometheus metrics exported by a daemon."""
 
 from __future__ import annotations
 
--- a/src/endivevane/testing.py
+++ b/src/endivevane/testing.py
@@ -1,4 +1,4 @@
-"""Doubles of outside systems that tests of several folders share."""
+"""Fakes of external systems, shared by tests of several packages."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 
 
 class Fault(enum.StrEnum):
-    """How one call to the table store goes wrong.
+    """Fault injected into one call to the table store.
 
-    ``LOST_BEFORE`` and ``LOST_AFTER`` look the same to the caller: the write did not
-    take effect or did. ``DELAYED`` is a write that is still under way when the answer
-    is given up; it is applied at the start of a later call, if its conditions hold
-    then. Reads fail as unavailable under all of them.
+    ``LOST_BEFORE`` and ``LOST_AFTER`` both lose the answer, so the caller can't tell
+    them apart: under the first the write is not applied, under the second it is.
+    ``DELAYED`` is a write still in flight when the call times out; it is applied at
+    the start of a later call if its conditions hold then. Reads fail as unavailable
+    under every fault except ``OVERLOADED``.
     """
 
     DOWN = "down"
@@ -40,7 +41,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Delayed:
+class _DelayedTransaction:
     operation_id: str
     conditions: tuple[store.Condition, ...]
     writes: tuple[store.Write, ...]
@@ -48,13 +49,13 @@
 
 
 class MemoryTableStore:
-    """A thread-safe table store in memory with scripted faults.
+    """A thread-safe in-memory table store with fault injection.
 
-    Implements :class:`store.TableStore`. Faults come from the script first, one entry
-    a call, then from ``choose_fault``, then from ``is_down``.
+    Implements :class:`store.TableStore`. Each call takes its fault from the script
+    if entries remain, else from ``choose_fault``, else from ``is_down``.
 
-    :param choose_fault: gets the kind of call (``read``, ``scan`` or ``transact``)
-    :param retry_after_s: what an overloaded answer carries
+    :param choose_fault: called with the kind: ``read``, ``scan`` or ``transact``
+    :param retry_after_s: retry delay given in an overload error
     """
 
     def __init__(
@@ -70,28 +71,28 @@
         self._rows: dict[tuple[str, str], store.Row] = {}
         self._revision = 0
         self._script: collections.deque[Fault | None] = collections.deque()
-        self._delayed: list[_Delayed] = []
+        self._delayed: list[_DelayedTransaction] = []
         self._delay_calls = 1
         self._lock = threading.RLock()
 
     def script(self, *faults: Fault | None, delay_calls: int = 1) -> None:
-        """Append faults for the next calls, one each; ``None`` is a call that works.
+        """Script the faults of the next calls, one each; ``None`` for no fault.
 
-        :param delay_calls: later calls that pass before a delayed write takes effect
+        :param delay_calls: number of later calls before a delayed write is applied
         """
         with self._lock:
             self._script.extend(faults)
             self._delay_calls = delay_calls
 
     def apply_delayed(self) -> None:
-        """Let all delayed writes take effect whose conditions still hold."""
+        """Apply all delayed writes whose conditions still hold."""
         with self._lock:
             delayed, self._delayed = self._delayed, []
             for item in delayed:
                 self._try_apply(item.operation_id, item.conditions, item.writes)
 
     def rows(self, table: str) -> dict[str, store.Row]:
-        """Return the rows of a table by key, without faults."""
+        """Return the rows of a table by key, without fault injection."""
         with self._lock:
             return {
                 key: copy.deepcopy(row)
@@ -113,7 +114,7 @@
     ) -> result.Result[store.Row | None, store.StoreError]:
         """Return a row, or ``None`` when it is absent."""
         with self._lock:
-            fault = self._begin("read")
+            fault = self._begin_call("read")
             if fault is not None:
                 return result.Err(self._make_read_error(fault))
             return result.Ok(copy.deepcopy(self._rows.get((table, key))))
@@ -121,9 +122,9 @@
     def scan(
         self, table: str, prefix: str, after: str = "", limit: int = 500
     ) -> result.Result[list[store.Row], store.StoreError]:
-        """Return rows whose key has the prefix and sorts after ``after``."""
+        """Return rows whose key starts with the prefix and sorts after ``after``."""
         with self._lock:
-            fault = self._begin("scan")
+            fault = self._begin_call("scan")
             if fault is not None:
                 return result.Err(self._make_read_error(fault))
             keys = sorted(
@@ -142,25 +143,30 @@
         writes: abc.Sequence[store.Write],
     ) -> result.Result[int, store.StoreError]:
         """Apply all writes if all conditions hold; return the new revision."""
-        kept = tuple(copy.deepcopy(list(writes)))
+        copied_writes = tuple(copy.deepcopy(list(writes)))
         with self._lock:
-            fault = self._begin("transact")
+            fault = self._begin_call("transact")
             if fault is Fault.DOWN:
                 return result.Err(store.StoreUnavailable("scripted outage"))
             if fault is Fault.OVERLOADED:
                 return result.Err(store.StoreOverloaded(self._retry_after_s))
             if fault is Fault.DELAYED:
                 self._delayed.append(
-                    _Delayed(operation_id, tuple(conditions), kept, self._delay_calls)
+                    _DelayedTransaction(
+                        operation_id,
+                        tuple(conditions),
+                        copied_writes,
+                        self._delay_calls,
+                    )
                 )
             if fault in (Fault.LOST_BEFORE, Fault.DELAYED):
                 return result.Err(store.StoreOutcomeUnknown(operation_id, "lost"))
-            outcome = self._try_apply(operation_id, conditions, kept)
+            outcome = self._try_apply(operation_id, conditions, copied_writes)
             if fault is Fault.LOST_AFTER:
                 return result.Err(store.StoreOutcomeUnknown(operation_id, "lost"))
             return outcome
 
-    def _begin(self, kind: str) -> Fault | None:
+    def _begin_call(self, kind: str) -> Fault | None:
         """Count the call, apply due delayed writes and choose the fault."""
         self.call_counts[kind] += 1
         due = [item for item in self._delayed if item.remaining_calls <= 0]
--- a/src/endivevane/types.py
+++ b/src/endivevane/types.py
@@ -1,4 +1,4 @@
-"""Small types that several folders share."""
+"""Types shared by several packages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RunState(enum.StrEnum):
-    """What a refusal or failure says about the execution of a request."""
+    """Whether a refused or failed request was executed."""
 
     NOT_RUN = "not-run"
     MAY_HAVE_RUN = "may-have-run"
@@ -15,14 +15,14 @@
 
 
 class Role(enum.StrEnum):
-    """What the owner of an API key may do."""
+    """Role of an API key's owner, which determines the permitted operations."""
 
     CALLER = "caller"
     OPERATOR = "operator"
 
 
 class Priority(enum.IntEnum):
-    """Order in which waiting online requests are sent; lower values go first."""
+    """Priority of a queued online request; lower values are sent first."""
 
     INTERACTIVE = 0
     NORMAL = 1
@@ -33,7 +33,7 @@
 class Address:
     """An IP address and a TCP port.
 
-    :param host: IP number
+    :param host: IP address
     :param port: TCP port, 1 to 65535
     """
 
@@ -49,7 +49,7 @@
     """Parse ``host:port``.
 
     :param text: for example ``127.0.0.1:8080``
-    :raises ValueError: when the text has no port or the port is out of range
+    :raises ValueError: if the text is not ``host:port`` or the port is out of range
     """
     host, separator, port_text = text.rpartition(":")
     if not separator or not host or not port_text.isdigit():
@@ -64,10 +64,10 @@
 class ModelDemand:
     """Recent online demand for a model at one or more daemons.
 
-    All figures are decayed: rates of events and mean numbers of requests.
+    All values are decayed averages: event rates and mean numbers of requests.
 
     :param sent_per_s: requests whose first attempt was sent
-    :param refused_per_s: requests refused for lack of room
+    :param refused_per_s: requests refused for lack of capacity
     :param tokens_per_s: tokens delivered to callers
     :param running_requests: attempts in flight
     :param waiting_requests: requests in the queue
@@ -80,7 +80,7 @@
     waiting_requests: float = 0.0
 
     def __add__(self, other: ModelDemand) -> ModelDemand:
-        """Return the demand at both."""
+        """Return the combined demand."""
         return ModelDemand(
             self.sent_per_s + other.sent_per_s,
             self.refused_per_s + other.refused_per_s,
@@ -90,9 +90,9 @@
         )
 
     def compute_slots(self) -> float:
-        """Return the slots of engines that would serve all of it.
+        """Return the number of engine slots needed to serve the demand.
 
-        A refused request counts with the mean duration of those that run.
+        A refused request is assumed to last as long as the mean running request.
         """
         duration_s = 1.0
         if self.sent_per_s > 0:
--- a/src/endivevane/utils.py
+++ b/src/endivevane/utils.py
@@ -1,4 +1,4 @@
-"""Helpers without a better home."""
+"""Identifiers, digests and JSON encoding."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 def make_id(prefix: str) -> str:
     """Return a random identifier such as ``req-4f0c...``.
 
-    :param prefix: short word that says what the identifier names
+    :param prefix: kind of object that the identifier names
     """
     return f"{prefix}-{secrets.token_hex(12)}"
 
 
 def digest_text(*parts: str) -> str:
-    """Return a SHA-256 digest in hex over length-prefixed parts.
+    """Return the hexadecimal SHA-256 digest of length-prefixed parts.
 
-    The length prefix keeps ``("ab", "c")`` and ``("a", "bc")`` apart.
+    The length prefixes give ``("ab", "c")`` and ``("a", "bc")`` different digests.
     """
-    state = hashlib.sha256()
+    hasher = hashlib.sha256()
     for part in parts:
         data = part.encode()
-        state.update(str(len(data)).encode() + b":" + data)
-    return state.hexdigest()
+        hasher.update(str(len(data)).encode() + b":" + data)
+    return hasher.hexdigest()
 
 
 def encode_json(value: typing.Any) -> bytes:
@@ -37,6 +37,6 @@
 def decode_json(data: bytes) -> typing.Any:
     """Decode JSON.
 
-    :raises ValueError: when the data is not valid JSON in UTF-8
+    :raises ValueError: if the data is not valid JSON in UTF-8
     """
     return orjson.loads(data)
