--- a/bench/fleet/__init__.py
+++ b/bench/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the fleet: the daemons' own decisions on a simulated clock."""
+"""Simulation of a fleet that runs the daemons' decision code on a simulated clock."""
--- a/bench/fleet/engines.py
+++ b/bench/fleet/engines.py
@@ -1,4 +1,4 @@
-"""Simulated targets of the fleet model."""
+"""Simulated targets."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Run:
-    """What an engine works on.
+    """A request or batch item at an engine.
 
-    :param hold_s: time for which it holds a slot
-    :param on_begin: called when it gets its slot
-    :param on_end: called when it is done
-    :ivar began_s: when it got its slot, ``None`` before
+    :param hold_s: time for which it occupies a slot
+    :param on_begin: called when it is given a slot
+    :param on_end: called when it completes
+    :ivar began_s: when it was given a slot, ``None`` before
     """
 
     hold_s: float
@@ -25,9 +25,9 @@
 
 
 class Engine:
-    """A target with slots and a queue in order of arrival.
+    """A target with slots and a FIFO queue.
 
-    :param later: schedules a call after a delay
+    :param call_later: schedules a call after a delay
     :param clock: returns the simulated time
     """
 
@@ -36,23 +36,23 @@
         name: str,
         region: int,
         slots: int,
-        later: abc.Callable[..., None],
+        call_later: abc.Callable[..., None],
         clock: abc.Callable[[], float],
     ) -> None:
         self.name = name
         self.region = region
         self.slots = slots
-        self._later = later
+        self._call_later = call_later
         self._clock = clock
         self._running: set[Run] = set()
         self._queue: collections.deque[Run] = collections.deque()
 
     @property
     def load(self) -> int:
-        """Requests that run or wait."""
+        """Number of running and queued requests."""
         return len(self._running) + len(self._queue)
 
-    def take(self, run: Run) -> None:
+    def submit(self, run: Run) -> None:
         """Run a request, or queue it until a slot is free."""
         if run.is_over:
             return
@@ -75,7 +75,7 @@
             run.began_s = self._clock()
             self._running.add(run)
             run.on_begin()
-            self._later(run.hold_s, self._end, run)
+            self._call_later(run.hold_s, self._end, run)
 
     def _end(self, run: Run) -> None:
         if run.is_over:
--- a/bench/fleet/pattern.py
+++ b/bench/fleet/pattern.py
@@ -1,4 +1,4 @@
-"""Patterns of load for the model of the fleet, read from TOML."""
+"""Load patterns for the fleet simulation, read from TOML."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 
 
 class View(enum.StrEnum):
-    """How daemons know the loads that all of them put on targets."""
+    """Source of a daemon's view of the load on targets.
+
+    :cvar REPORTS: load reports from the other daemons
+    :cvar COORDINATED: the coordinator of the region
+    :cvar PERFECT: the true load, without delay
+    """
 
     REPORTS = "reports"
     COORDINATED = "coordinated"
@@ -18,24 +23,24 @@
 
 
 class Pattern(pydantic.BaseModel):
-    """A fleet and the load on it.
-
-    :param daemons: daemons of each region
-    :param targets: targets of each region
-    :param zones: availability zones of each region, which take turns
-    :param rate_per_s: mean rate of requests of all regions together
-    :param low: share of the mean rate between pulses
-    :param high: share of the mean rate in a pulse
-    :param low_s: time between pulses
-    :param high_s: length of a pulse
-    :param hold_s: mean time that a request holds its place
-    :param hold_spread: standard deviation of that time, as a share of it
-    :param start_s: time from a place to the first event at a target with a free slot
-    :param objective_s: time within which the first event is on time
-    :param region_delay_s: one way between two regions
-    :param items_per_s: batch items that arrive
-    :param item_hold_s: time for which an item has to run, in one run or several
-    :param item_due_s: time after its arrival at which an item is due
+    """A fleet and its load.
+
+    :param daemons: number of daemons per region
+    :param targets: number of targets per region
+    :param zones: availability zones per region, assigned round robin
+    :param rate_per_s: mean request rate over all regions
+    :param low: factor on the rate between bursts
+    :param high: factor on the rate during a burst
+    :param low_s: time between bursts
+    :param high_s: length of a burst
+    :param hold_s: mean time for which a request occupies a slot
+    :param hold_spread: standard deviation of ``hold_s``, as a share of it
+    :param start_s: time from start to first event at a target with a free slot
+    :param objective_s: objective for the time to the first event
+    :param region_delay_s: one-way delay between two regions
+    :param items_per_s: arrival rate of batch items
+    :param item_hold_s: mean total run time of an item over all its runs
+    :param item_due_s: deadline of an item, counted from its arrival
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
@@ -61,13 +66,13 @@
     duration_s: float = pydantic.Field(gt=0)
 
     def find_rate(self, now_s: float) -> float:
-        """Return the rate of requests at a time."""
+        """Return the request rate at a time."""
         phase_s = now_s % (self.low_s + self.high_s)
         return self.rate_per_s * (self.low if phase_s < self.low_s else self.high)
 
 
 def load_pattern(path: pathlib.Path) -> Pattern:
-    """Return a pattern.
+    """Read a pattern from a TOML file.
 
     :raises pydantic.ValidationError: when a value is missing or out of range
     """
--- a/bench/fleet/run.py
+++ b/bench/fleet/run.py
@@ -1,6 +1,8 @@
-"""Plays patterns of load on the model of the fleet over seeds, and prints the outcome.
+"""Simulate load patterns over several seeds and print summary statistics.
 
-python -m bench.fleet.run bench/fleet/patterns/pulses_85.toml --seeds 5
+Example::
+
+    python -m bench.fleet.run bench/fleet/patterns/pulses_85.toml --seeds 5
 """
 
 from __future__ import annotations
@@ -15,10 +17,10 @@
 from bench.fleet import pattern, simulation
 
 
-def play(path: pathlib.Path, seed: int, view: pattern.View) -> dict[str, float]:
-    """Play a pattern once and return its figures, in parts of the requests."""
-    played = pattern.load_pattern(path)
-    tally = simulation.Simulation(played, seed, view).run()
+def simulate(path: pathlib.Path, seed: int, view: pattern.View) -> dict[str, float]:
+    """Simulate a pattern once and return its figures, as shares of the requests."""
+    workload = pattern.load_pattern(path)
+    tally = simulation.Simulation(workload, seed, view).run()
     served = max(1, tally.served)
     return {
         "served": tally.served,
@@ -32,44 +34,46 @@
     }
 
 
-def summarise(plays: list[dict[str, float]]) -> dict[str, tuple[float, float]]:
-    """Return mean and half-width of the 95% interval of each figure."""
+def summarise(runs: list[dict[str, float]]) -> dict[str, tuple[float, float]]:
+    """Return the mean and half-width of each figure's 95% interval."""
     summary = {}
-    for name in plays[0]:
-        values = [figures[name] for figures in plays]
+    for name in runs[0]:
+        values = [figures[name] for figures in runs]
         spread = statistics.stdev(values) if len(values) > 1 else 0.0
-        half = 1.96 * spread / math.sqrt(len(values))
-        summary[name] = (statistics.fmean(values), half)
+        half_width = 1.96 * spread / math.sqrt(len(values))
+        summary[name] = (statistics.fmean(values), half_width)
     return summary
 
 
 def main() -> None:
-    """Play each pattern and print its figures."""
+    """Simulate each pattern and print its figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("patterns", nargs="+", type=pathlib.Path)
-    parser.add_argument("--seeds", type=int, default=4, help="plays of each pattern")
+    parser.add_argument(
+        "--seeds", type=int, default=4, help="number of runs per pattern"
+    )
     parser.add_argument("--processes", type=int, default=2)
     parser.add_argument(
         "--view",
         type=pattern.View,
         choices=list(pattern.View),
         default=pattern.View.REPORTS,
-        help="how daemons know the loads",
+        help="source of the daemons' view of the load",
     )
     parser.add_argument("--output", type=pathlib.Path, help="JSON file for the figures")
     parsed = parser.parse_args()
     results = {}
     with concurrent.futures.ProcessPoolExecutor(parsed.processes) as pool:
         for path in parsed.patterns:
-            calls = [
-                pool.submit(play, path, seed, parsed.view)
+            pending = [
+                pool.submit(simulate, path, seed, parsed.view)
                 for seed in range(1, parsed.seeds + 1)
             ]
-            summary = summarise([call.result() for call in calls])
+            summary = summarise([future.result() for future in pending])
             results[path.stem] = summary
             shown = "  ".join(
-                f"{name} {mean:.3f} +- {half:.3f}"
-                for name, (mean, half) in summary.items()
+                f"{name} {mean:.3f} +- {half_width:.3f}"
+                for name, (mean, half_width) in summary.items()
             )
             print(f"{path.stem}: {shown}")
     if parsed.output is not None:
--- a/bench/fleet/simulation.py
+++ b/bench/fleet/simulation.py
@@ -1,4 +1,4 @@
-"""Plays a pattern: real placement and load boards, simulated engines and clock."""
+"""Simulates a load pattern with real target selection and simulated engines."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     target_selection,
 )
 
-# Requests without a place are looked at this often.
-_WAIT_LOOK_S = 0.02
-_NEAR_DELAY_S = 0.001
+# Interval at which a daemon retries its waiting requests.
+_RETRY_INTERVAL_S = 0.02
+_SAME_REGION_DELAY_S = 0.001
 _SERVICE = "lm"
 
 
@@ -42,19 +42,22 @@
 
     name: str
     region: int
-    board: load_table.LoadTable
-    choices: target_selection.TargetSelector
+    table: load_table.LoadTable
+    selector: target_selection.TargetSelector
     waiting: collections.deque[Request] = dataclasses.field(
         default_factory=collections.deque
     )
-    reported: int = -1
+    reported_version: int = -1
 
 
 @dataclasses.dataclass(slots=True)
 class Tally:
-    """What became of the requests.
+    """Counts of the outcomes of requests and items.
 
-    :ivar crowded: requests that met an engine with three or more too many
+    :ivar late: requests whose first event missed the objective
+    :ivar far: requests that ran in another region
+    :ivar crowded: requests that reached an engine with three or more above its slots
+    :ivar yields: preempted runs of items
     """
 
     served: int = 0
@@ -68,47 +71,47 @@
 
 
 class Simulation:
-    """One play of a pattern.
+    """One run of a pattern.
 
-    :param view: how daemons know the loads
+    :param view: source of the daemons' view of the load
     """
 
     def __init__(
         self,
-        played: pattern.Pattern,
+        workload: pattern.Pattern,
         seed: int,
         view: pattern.View = pattern.View.REPORTS,
     ) -> None:
-        self.pattern = played
+        self.pattern = workload
         self.generator = random.Random(seed)
         self.now_s = 0.0
         self.tally = Tally()
         self._view = view
         self._events: list[tuple[float, int, abc.Callable[[], None]]] = []
-        self._numbers = itertools.count()
-        self._truth = load_table.LoadTable()
-        # What the coordinator of each region knows.
-        self._coordinators = [load_table.LoadTable() for _ in played.daemons]
+        self._sequence = itertools.count()
+        self._true_loads = load_table.LoadTable()
+        # The load as the coordinator of each region knows it.
+        self._coordinators = [load_table.LoadTable() for _ in workload.daemons]
         self._engines = {
             engine.name: engine
-            for region, count in enumerate(played.targets)
+            for region, count in enumerate(workload.targets)
             for engine in self._make_engines(region, count)
         }
         self.targets = {name: self._decode(name, b"") for name in self._engines}
         self.daemons = [
             self._make_daemon(region, number)
-            for region, count in enumerate(played.daemons)
+            for region, count in enumerate(workload.daemons)
             for number in range(count)
         ]
-        self._batch = batch.BatchPlay(self)
+        self._batch = batch.BatchSimulation(self)
 
     def run(self) -> Tally:
-        """Play the pattern and return what became of the requests."""
+        """Run the simulation and return the counts."""
         self._schedule_arrival()
         for daemon in self.daemons:
-            self.later(self.generator.random() * 0.1, self._report, daemon)
+            self.call_later(self.generator.random() * 0.1, self._report, daemon)
         for region in range(len(self.pattern.daemons)):
-            self.later(self.generator.random() * 0.1, self._report_region, region)
+            self.call_later(self.generator.random() * 0.1, self._report_region, region)
         self._batch.start()
         while self._events:
             self.now_s, _, action = heapq.heappop(self._events)
@@ -117,11 +120,11 @@
             action()
         return self.tally
 
-    def later(
-        self, delay_s: float, action: abc.Callable[..., None], *given: typing.Any
+    def call_later(
+        self, delay_s: float, action: abc.Callable[..., None], *arguments: typing.Any
     ) -> None:
         """Call a function after a simulated delay."""
-        entry = (self.now_s + delay_s, next(self._numbers), lambda: action(*given))
+        entry = (self.now_s + delay_s, next(self._sequence), lambda: action(*arguments))
         heapq.heappush(self._events, entry)
 
     def find_engine(self, target: model.Target) -> engines.Engine:
@@ -129,10 +132,10 @@
         return self._engines[target.target_id]
 
     def find_delay_s(self, daemon: Daemon, engine: engines.Engine) -> float:
-        """Return the time of one way between a daemon and an engine."""
+        """Return the one-way delay between a daemon and an engine."""
         if engine.region != daemon.region:
             return self.pattern.region_delay_s
-        return _NEAR_DELAY_S
+        return _SAME_REGION_DELAY_S
 
     def _make_engines(self, region: int, count: int) -> list[engines.Engine]:
         return [
@@ -140,7 +143,7 @@
                 f"r{region}t{number}",
                 region,
                 self.pattern.slots,
-                self.later,
+                self.call_later,
                 lambda: self.now_s,
             )
             for number in range(count)
@@ -148,7 +151,7 @@
 
     def _make_daemon(self, region: int, number: int) -> Daemon:
         zone = f"r{region}z{number % self.pattern.zones}"
-        board = self._find_board(region)
+        table = self._find_table(region)
         known = target_registry.TargetRegistry(self._decode)
         for version, name in enumerate(self._engines, 1):
             row_key = store.RowKey("targets", "", name)
@@ -158,30 +161,30 @@
             for each in range(len(self.pattern.daemons))
             for item in range(self.pattern.zones)
         }
-        choices = target_selection.TargetSelector(
+        selector = target_selection.TargetSelector(
             target_selection.Location(zone, f"r{region}", regions),
             known,
-            board,
+            table,
             random.Random(self.generator.random()),
         )
-        daemon = Daemon(f"r{region}d{number}", region, board, choices)
+        daemon = Daemon(f"r{region}d{number}", region, table, selector)
         if self._view is pattern.View.REPORTS:
-            board.same_region_age_s = peers.find_interval_s(
+            table.same_region_age_s = peers.find_interval_s(
                 self.pattern.daemons[region]
             )
-        board.cross_region_age_s = self._find_region_interval_s()
+        table.cross_region_age_s = self._find_region_interval_s()
         return daemon
 
-    def _find_board(self, region: int) -> load_table.LoadTable:
-        """Return the board that a daemon of a region decides by."""
+    def _find_table(self, region: int) -> load_table.LoadTable:
+        """Return the load table that a daemon of a region uses."""
         if self._view is pattern.View.PERFECT:
-            return self._truth
+            return self._true_loads
         if self._view is pattern.View.COORDINATED:
             return self._coordinators[region]
         return load_table.LoadTable()
 
     def _find_region_interval_s(self) -> float:
-        """Return the time between two reports of a region."""
+        """Return the interval between two reports of a region."""
         if self._view is pattern.View.REPORTS:
             return region_reports.find_interval_s(sum(self.pattern.daemons))
         if self._view is pattern.View.COORDINATED:
@@ -204,7 +207,7 @@
 
     def _schedule_arrival(self) -> None:
         gap_s = self.generator.expovariate(self.pattern.find_rate(self.now_s))
-        self.later(gap_s, self._arrive)
+        self.call_later(gap_s, self._arrive)
 
     def _arrive(self) -> None:
         self._schedule_arrival()
@@ -212,44 +215,44 @@
         daemon = self.generator.choice(self.daemons)
         request = Request(self.now_s, self.pattern.hold_s * factor, daemon)
         if self._view is pattern.View.COORDINATED:
-            # The way to the coordinator and back.
-            self.later(2 * _NEAR_DELAY_S, self._place_or_wait, request)
+            # Round trip to the coordinator.
+            self.call_later(2 * _SAME_REGION_DELAY_S, self._dispatch_or_queue, request)
         else:
-            self._place_or_wait(request)
+            self._dispatch_or_queue(request)
 
-    def _place_or_wait(self, request: Request) -> None:
+    def _dispatch_or_queue(self, request: Request) -> None:
         daemon = request.daemon
-        if not self._place(request):
+        if not self._dispatch(request):
             daemon.waiting.append(request)
-            self.later(_WAIT_LOOK_S, self._look, daemon)
+            self.call_later(_RETRY_INTERVAL_S, self._dispatch_waiting, daemon)
 
-    def _look(self, daemon: Daemon) -> None:
+    def _dispatch_waiting(self, daemon: Daemon) -> None:
         while daemon.waiting:
-            if not self._place(daemon.waiting[0]):
-                self.later(_WAIT_LOOK_S, self._look, daemon)
+            if not self._dispatch(daemon.waiting[0]):
+                self.call_later(_RETRY_INTERVAL_S, self._dispatch_waiting, daemon)
                 return
             daemon.waiting.popleft()
 
-    def _place(self, request: Request) -> bool:
+    def _dispatch(self, request: Request) -> bool:
         daemon = request.daemon
-        target = daemon.choices.choose_online(_SERVICE, self.now_s)
+        target = daemon.selector.choose_online(_SERVICE, self.now_s)
         if target is None:
             return False
         engine = self.find_engine(target)
-        daemon.board.begin(engine.name, is_batch=False)
+        daemon.table.begin(engine.name, is_batch=False)
         run = engines.Run(
             request.hold_s,
-            lambda: self._note_begin(request, engine),
-            lambda: self._note_end(daemon, engine),
+            lambda: self._record_start(request, engine),
+            lambda: self._record_end(daemon, engine),
         )
-        self.later(self.find_delay_s(daemon, engine), self._reach, engine, run)
+        self.call_later(self.find_delay_s(daemon, engine), self._submit, engine, run)
         return True
 
-    def _reach(self, engine: engines.Engine, run: engines.Run) -> None:
+    def _submit(self, engine: engines.Engine, run: engines.Run) -> None:
         self.tally.crowded += engine.load >= engine.slots + 3
-        engine.take(run)
+        engine.submit(run)
 
-    def _note_begin(self, request: Request, engine: engines.Engine) -> None:
+    def _record_start(self, request: Request, engine: engines.Engine) -> None:
         back_s = self.find_delay_s(request.daemon, engine)
         first_s = self.now_s + self.pattern.start_s + back_s - request.arrived_s
         is_late = first_s > self.pattern.objective_s
@@ -259,49 +262,49 @@
         self.tally.far += is_far
         self.tally.far_late += is_far and is_late
 
-    def _note_end(self, daemon: Daemon, engine: engines.Engine) -> None:
+    def _record_end(self, daemon: Daemon, engine: engines.Engine) -> None:
         delay_s = self.find_delay_s(daemon, engine)
-        self.later(delay_s, daemon.board.end, engine.name, False)
+        self.call_later(delay_s, daemon.table.end, engine.name, False)
 
     def _report(self, daemon: Daemon) -> None:
-        near = self.pattern.daemons[daemon.region]
-        self.later(peers.find_interval_s(near), self._report, daemon)
+        daemon_count = self.pattern.daemons[daemon.region]
+        self.call_later(peers.find_interval_s(daemon_count), self._report, daemon)
         if self._view is not pattern.View.REPORTS:
             return
-        if daemon.board.version == daemon.reported:
+        if daemon.table.version == daemon.reported_version:
             return
-        daemon.reported = daemon.board.version
+        daemon.reported_version = daemon.table.version
         report = load_table.LoadReport(
-            _copy_loads(daemon.board.own), self.now_s, daemon.board.own_waiting_items
+            _copy_loads(daemon.table.own), self.now_s, daemon.table.own_waiting_items
         )
-        self.later(_NEAR_DELAY_S, self._deliver, daemon, report)
+        self.call_later(_SAME_REGION_DELAY_S, self._deliver, daemon, report)
 
     def _deliver(self, sender: Daemon, report: load_table.LoadReport) -> None:
         for daemon in self.daemons:
             if daemon.region == sender.region and daemon is not sender:
-                daemon.board.set_report(sender.name, report)
+                daemon.table.set_report(sender.name, report)
 
     def _report_region(self, region: int) -> None:
         if self._view is pattern.View.PERFECT:
             return
         interval_s = self._find_region_interval_s()
-        self.later(interval_s, self._report_region, region)
+        self.call_later(interval_s, self._report_region, region)
         members = [item for item in self.daemons if item.region == region]
         names = [item.name for item in members]
-        board = members[0].board
+        table = members[0].table
         report = load_table.LoadReport(
-            board.sum_with(names),
+            table.sum_with(names),
             self.now_s,
-            board.sum_waiting_items(names),
+            table.sum_waiting_items(names),
             covers_region=True,
         )
-        delay_s = self.pattern.region_delay_s + 2 * _NEAR_DELAY_S
-        self.later(delay_s, self._deliver_region, region, report)
+        delay_s = self.pattern.region_delay_s + 2 * _SAME_REGION_DELAY_S
+        self.call_later(delay_s, self._deliver_region, region, report)
 
     def _deliver_region(self, region: int, report: load_table.LoadReport) -> None:
         for daemon in self.daemons:
             if daemon.region != region:
-                daemon.board.set_report(f"region {region}", report)
+                daemon.table.set_report(f"region {region}", report)
 
 
 def _copy_loads(
