--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of daemons as processes, with faults from outside."""
+"""Randomised soak test of daemon processes with injected faults."""
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Clients of a soak, and the promises that they check."""
+"""Clients of the soak test, which check the guarantees of the service."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 import random
 
 from features.support import serving_processes, serving_world
-from soak import world
+from soak import environment
 from standins import replica
 
-# Statuses that promise that a request has not run and never will.
-_PROMISES = (408, 421, 429, 503)
+# Statuses that guarantee that a request has not run and never will.
+_NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 _FINISH_S = 40.0
 
 
 @dataclasses.dataclass
 class Report:
-    """What the clients saw.
+    """Counts of outcomes as the clients saw them.
 
-    :ivar broken: promises that were broken, each with what was seen
+    :ivar violations: descriptions of violated guarantees
     """
 
     served: int = 0
@@ -28,108 +28,116 @@
     failed: int = 0
     jobs: int = 0
     items: int = 0
-    broken: list[str] = dataclasses.field(default_factory=list)
+    violations: list[str] = dataclasses.field(default_factory=list)
 
 
-async def ask_streams(
-    items: world.World, report: Report, generator: random.Random, until_s: float
+async def send_streams(
+    items: environment.Environment,
+    report: Report,
+    generator: random.Random,
+    end_s: float,
 ) -> None:
-    """Send online requests one after the other until a time."""
+    """Send online requests sequentially until a point in time."""
     loop = asyncio.get_running_loop()
-    while loop.time() < until_s:
+    while loop.time() < end_s:
         prefix = generator.choice(("/quote/", "/once/"))
         attempt = f"{generator.getrandbits(48):012x}"
         daemon = generator.choice(items.daemons)
-        data = world.make_stream(prefix, attempt)
+        data = environment.make_stream(prefix, attempt)
         try:
-            reply = await serving_world.send_request(daemon.port, data, wait_s=5.0)
+            response = await serving_world.send_request(daemon.port, data, wait_s=5.0)
         except (OSError, TimeoutError):
-            reply = serving_world.Response()
-        _check_stream(items, report, prefix, attempt, reply)
+            response = serving_world.Response()
+        _check_stream_response(items, report, prefix, attempt, response)
         await asyncio.sleep(generator.uniform(0.0, 0.1))
 
 
-def _check_stream(
-    items: world.World,
+def _check_stream_response(
+    items: environment.Environment,
     report: Report,
     prefix: str,
     attempt: str,
-    reply: serving_world.Response,
+    response: serving_world.Response,
 ) -> None:
-    whole = b"".join(
-        replica.make_event(attempt, number) for number in range(1, world.EVENTS + 1)
+    expected = b"".join(
+        replica.make_event(attempt, number)
+        for number in range(1, environment.EVENTS + 1)
     )
-    if reply.status == 200:
-        if reply.is_complete and reply.body != whole:
-            report.broken.append(f"MIXED {attempt}: {reply.body!r}")
-        if not whole.startswith(reply.body):
-            report.broken.append(f"ORDER {attempt}: {reply.body!r}")
-        report.served += reply.is_complete
-        report.failed += not reply.is_complete
+    if response.status == 200:
+        if response.is_complete and response.body != expected:
+            report.violations.append(f"MIXED {attempt}: {response.body!r}")
+        if not expected.startswith(response.body):
+            report.violations.append(f"ORDER {attempt}: {response.body!r}")
+        report.served += response.is_complete
+        report.failed += not response.is_complete
         return
-    if reply.status in _PROMISES:
+    if response.status in _NOT_EXECUTED_STATUSES:
         report.refused += 1
         if any(run.attempt == attempt for run in items.list_runs()):
-            report.broken.append(f"REFUSED {attempt}: {reply.status} but it has run")
+            report.violations.append(
+                f"REFUSED {attempt}: {response.status} but it has run"
+            )
         return
-    if reply.status in (400, 401, 403, 404):
-        report.broken.append(f"DENIED {attempt}: {reply.status}")
+    if response.status in (400, 401, 403, 404):
+        report.violations.append(f"DENIED {attempt}: {response.status}")
     report.failed += 1
 
 
-def check_runs(items: world.World, report: Report) -> None:
-    """Check what the targets saw of requests that may run once."""
+def check_runs(items: environment.Environment, report: Report) -> None:
+    """Check that no request that must not be repeated ran more than once."""
     counts: dict[str, int] = {}
     for run in items.list_runs():
         if run.path.startswith("/once/"):
             counts[run.attempt] = counts.get(run.attempt, 0) + 1
     for attempt, count in counts.items():
         if count > 1:
-            report.broken.append(f"TWICE {attempt}: {count} runs")
+            report.violations.append(f"TWICE {attempt}: {count} runs")
 
 
-class JobCaller:
-    """Hands in one job until it is accepted and reads it to its end.
+class JobClient:
+    """Submits one job until it is accepted and polls its results.
 
-    Every read must show what earlier reads of any daemon have shown.
+    Every read must be consistent with the earlier reads from all daemons.
     """
 
-    def __init__(self, items: world.World, report: Report, generator: random.Random):
-        self._items = items
+    def __init__(
+        self, items: environment.Environment, report: Report, generator: random.Random
+    ):
+        self._env = items
         self._report = report
         self._generator = generator
         self._job_id = f"{generator.getrandbits(48):012x}"
         self._count = generator.randint(2, 8)
         self._seen: list[dict] = []
-        self._is_ended = False
+        self._is_cancelled = False
 
-    async def run(self, finish_s: float) -> None:
-        """Play the job; all of it must be listed in time."""
-        if not await self._submit(finish_s):
+    async def run(self, deadline_s: float) -> None:
+        """Run the job; all results must be listed before the deadline."""
+        if not await self._submit(deadline_s):
             return
         self._report.jobs += 1
-        ends = self._generator.random() < 0.15
+        cancels = self._generator.random() < 0.15
         loop = asyncio.get_running_loop()
-        while loop.time() < finish_s:
+        while loop.time() < deadline_s:
             await self._read()
-            if ends and self._seen:
-                await self._end()
-            if len(self._seen) == self._count or self._is_ended:
+            if cancels and self._seen:
+                await self._cancel()
+            if len(self._seen) == self._count or self._is_cancelled:
                 break
             await asyncio.sleep(0.2)
-        if len(self._seen) < self._count and not self._is_ended:
-            self._report.broken.append(
+        if len(self._seen) < self._count and not self._is_cancelled:
+            self._report.violations.append(
                 f"LOST {self._job_id}: {len(self._seen)} of {self._count} listed"
             )
         self._report.items += len(self._seen)
-        self._check_texts()
+        self._check_results()
 
-    async def _submit(self, finish_s: float) -> bool:
+    async def _submit(self, deadline_s: float) -> bool:
         loop = asyncio.get_running_loop()
         data = serving_processes.make_job(self._job_id, self._count, wait_ms=2000)
-        while loop.time() < finish_s - 20.0:
-            reply = await self._ask(data)
-            if reply.status == 202:
+        while loop.time() < deadline_s - 20.0:
+            response = await self._send(data)
+            if response.status == 202:
                 return True
             await asyncio.sleep(0.3)
         return False
@@ -137,45 +145,47 @@
     async def _read(self) -> None:
         start = self._generator.randint(0, len(self._seen))
         path = f"/api/lots/{self._job_id}?after={start}"
-        reply = await self._ask(serving_processes.make_call("GET", path))
-        if reply.status == 404:
-            self._report.broken.append(f"LOST {self._job_id}: 404 after its 202")
-        if reply.status != 200 or not reply.is_complete:
+        response = await self._send(serving_processes.make_call("GET", path))
+        if response.status == 404:
+            self._report.violations.append(f"LOST {self._job_id}: 404 after its 202")
+        if response.status != 200 or not response.is_complete:
             return
-        answer = json.loads(reply.body)
-        if answer["total"] != self._count:
-            self._report.broken.append(f"MIXED {self._job_id}: total {answer}")
-        for offset, result in enumerate(answer["results"]):
+        page = json.loads(response.body)
+        if page["total"] != self._count:
+            self._report.violations.append(f"MIXED {self._job_id}: total {page}")
+        for offset, result in enumerate(page["results"]):
             position = start + offset
             if position < len(self._seen):
                 if self._seen[position] != result:
-                    self._report.broken.append(
+                    self._report.violations.append(
                         f"TWICE {self._job_id}: position {position} changed"
                     )
                 continue
             if result["id"] in [item["id"] for item in self._seen]:
-                self._report.broken.append(f"TWICE {self._job_id}: {result['id']}")
+                self._report.violations.append(f"TWICE {self._job_id}: {result['id']}")
             self._seen.append(result)
 
-    async def _end(self) -> None:
+    async def _cancel(self) -> None:
         path = f"/api/lots/{self._job_id}"
-        reply = await self._ask(serving_processes.make_call("DELETE", path))
-        self._is_ended = reply.status == 200
+        response = await self._send(serving_processes.make_call("DELETE", path))
+        self._is_cancelled = response.status == 200
 
-    def _check_texts(self) -> None:
+    def _check_results(self) -> None:
         for result in self._seen:
             lines = [
                 f"{result['id']} piece {number}"
-                for number in range(1, world.EVENTS + 1)
+                for number in range(1, environment.EVENTS + 1)
             ]
-            is_whole = result["text"] == "\n".join(lines)
-            if result["state"] == "completed" and not is_whole:
-                self._report.broken.append(f"ORDER {self._job_id}: {result}")
+            is_expected = result["text"] == "\n".join(lines)
+            if result["state"] == "completed" and not is_expected:
+                self._report.violations.append(f"ORDER {self._job_id}: {result}")
             if result["state"] != "completed":
-                self._report.broken.append(f"MIXED {self._job_id}: given up {result}")
+                self._report.violations.append(
+                    f"MIXED {self._job_id}: given up {result}"
+                )
 
-    async def _ask(self, data: bytes) -> serving_world.Response:
-        daemon = self._generator.choice(self._items.daemons)
+    async def _send(self, data: bytes) -> serving_world.Response:
+        daemon = self._generator.choice(self._env.daemons)
         try:
             return await serving_world.send_request(daemon.port, data, wait_s=4.0)
         except (OSError, TimeoutError):
--- a/soak/world.py
+++ b/soak/environment.py
@@ -1,4 +1,4 @@
-"""The store, the targets behind faulty proxies, and the daemons of a soak."""
+"""The store, the targets behind faulty proxies, and the daemons of the soak test."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from soak import proxy
 from standins import replica, row_store
 
-_DAEMONS = 3
-_TARGETS = 3
-_START_S = 20.0
+_DAEMON_COUNT = 3
+_TARGET_COUNT = 3
+_START_TIMEOUT_S = 20.0
 EVENTS = 12
 
 
-class World:
-    """Everything that a soak runs; the processes are ended by their own handles."""
+class Environment:
+    """Starts and stops everything that the soak test runs."""
 
     def __init__(self) -> None:
         self.store = row_store.RowStore()
         self.replicas: list[replica.Replica] = []
-        self.former: list[replica.Replica] = []
+        self.stopped_replicas: list[replica.Replica] = []
         self.proxies: list[proxy.FaultyProxy] = []
         self.daemons: list[serving_processes.Daemon] = []
         self.configuration = serving_processes.make_fleet_configuration()
@@ -40,28 +40,28 @@
         self._started = 0
 
     async def start(self) -> None:
-        """Start everything and wait until the daemons are ready."""
+        """Start all components and wait until the daemons are ready."""
         store_port = await self.store.start()
         self.store.write("op", "config", self.configuration)
-        for _ in range(_TARGETS):
+        for _ in range(_TARGET_COUNT):
             await self._add_target()
         (internal_port,) = serving_processes.find_free_ports(1)
         self.daemons = [
             serving_processes.Daemon(
                 number + 1, store_port, internal_port, self._folder.name
             )
-            for number in range(_DAEMONS)
+            for number in range(_DAEMON_COUNT)
         ]
         for daemon in self.daemons:
             daemon.start()
-        until_s = time.monotonic() + _START_S
+        deadline_s = time.monotonic() + _START_TIMEOUT_S
         while not await asyncio.to_thread(self._are_ready):
-            if time.monotonic() > until_s:
+            if time.monotonic() > deadline_s:
                 raise TimeoutError(self.read_logs()[-2000:])
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
-        """End the processes that were started here, and the stand-ins."""
+        """Stop the daemons, by their own handles, and the stand-ins."""
         for daemon in self.daemons:
             daemon.stop()
         for item in (*self.replicas, *self.proxies):
@@ -70,16 +70,16 @@
         self._folder.cleanup()
 
     async def replace_target(self, number: int) -> None:
-        """Let a target crash and another one start beside the others."""
-        old = self.replicas.pop(number)
-        self.former.append(old)
-        await old.stop()
+        """Crash a target and start a new one."""
+        removed = self.replicas.pop(number)
+        self.stopped_replicas.append(removed)
+        await removed.stop()
         await self.proxies.pop(number).stop()
-        self.store.write("servers", old.name, None)
+        self.store.write("servers", removed.name, None)
         await self._add_target()
 
     def change_configuration(self, generator: random.Random) -> None:
-        """Write the next version, with another route added or taken away."""
+        """Write the next version, with one route added or removed."""
         routes = self.configuration["routes"]
         if routes[-1]["name"] == "extra":
             routes.pop()
@@ -89,11 +89,15 @@
         self.store.write("op", "config", self.configuration)
 
     def list_runs(self) -> list[replica.Run]:
-        """Return the runs of all targets there have been."""
-        return [run for item in (*self.former, *self.replicas) for run in item.runs]
+        """Return the runs of all targets, including replaced ones."""
+        return [
+            run
+            for item in (*self.stopped_replicas, *self.replicas)
+            for run in item.runs
+        ]
 
     def read_logs(self) -> str:
-        """Return what the daemons have logged."""
+        """Return the logs of the daemons."""
         paths = sorted(pathlib.Path(self._folder.name).glob("*.log"))
         return "\n".join(f"== {path.name}\n{path.read_text()}" for path in paths)
 
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts or silences connections."""
+"""A loopback proxy that delays, resets or blocks connections."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 
 class FaultyProxy:
-    """Forwards connections to one port and spoils them on request.
+    """Forwards connections to one port and impairs them on request.
 
-    :ivar delay_s: added to each piece that is forwarded
-    :ivar is_silent: nothing is forwarded any more, in either direction
-    :ivar is_deaf: nothing is forwarded from clients, answers still pass
+    :ivar delay_s: delay of each forwarded chunk
+    :ivar blocks_all: forward nothing in either direction
+    :ivar blocks_requests: forward responses but nothing from clients
     """
 
     def __init__(self, port: int) -> None:
         self.delay_s = 0.0
-        self.is_silent = False
-        self.is_deaf = False
+        self.blocks_all = False
+        self.blocks_requests = False
         self.port = 0
         self._target_port = port
         self._writers: set[asyncio.StreamWriter] = set()
@@ -43,25 +43,25 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            there = await asyncio.open_connection("127.0.0.1", self._target_port)
+            upstream = await asyncio.open_connection("127.0.0.1", self._target_port)
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, there[1]}
+        self._writers |= {writer, upstream[1]}
         tasks = [
-            asyncio.ensure_future(self._copy(reader, there[1], is_request=True)),
-            asyncio.ensure_future(self._copy(there[0], writer, is_request=False)),
+            asyncio.ensure_future(self._forward(reader, upstream[1], is_request=True)),
+            asyncio.ensure_future(self._forward(upstream[0], writer, is_request=False)),
         ]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
             for task in tasks:
                 task.cancel()
-            for item in (writer, there[1]):
-                self._writers.discard(item)
-                item.transport.abort()
+            for closing in (writer, upstream[1]):
+                self._writers.discard(closing)
+                closing.transport.abort()
 
-    async def _copy(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -71,7 +71,7 @@
             while data := await reader.read(65536):
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                while self.is_silent or (self.is_deaf and is_request):
+                while self.blocks_all or (self.blocks_requests and is_request):
                     await asyncio.sleep(0.05)
                 writer.write(data)
                 await writer.drain()
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,8 +1,8 @@
-"""Play the soak over a range of seeds.
+"""Run the soak test over a range of seeds.
 
 Each seed starts a store, three targets behind faulty proxies and three daemons as
-processes, injects faults for some seconds, and checks the promises from what clients
-and targets saw. Logs of a seed that failed are kept.
+processes, injects faults for some seconds, and checks the guarantees of the service
+against what clients and targets saw. The logs of failed seeds are kept.
 """
 
 from __future__ import annotations
@@ -14,50 +14,54 @@
 import sys
 import time
 
-from soak import callers, faults, world
+from soak import callers, environment, faults
 
 _FAULT_S = 10.0
-# After the last fault all jobs must be done in this time.
+# Time limit for all jobs to complete after the last fault.
 _FINISH_S = 30.0
 _STREAM_CALLERS = 6
 _JOB_CALLERS = 3
 
 
-async def play(seed: int, fault_s: float) -> tuple[callers.Report, list[str], str]:
-    """Play one seed; return what was seen, the faults and the logs."""
+async def run_seed(seed: int, fault_s: float) -> tuple[callers.Report, list[str], str]:
+    """Run one seed; return the report, the names of the faults and the logs."""
     generator = random.Random(seed)
-    items = world.World()
+    env = environment.Environment()
     report = callers.Report()
     try:
-        await items.start()
+        await env.start()
         now_s = asyncio.get_running_loop().time()
-        until_s = now_s + fault_s
+        end_s = now_s + fault_s
         tasks = [
             asyncio.ensure_future(
-                callers.ask_streams(
-                    items, report, random.Random(f"{seed} stream {number}"), until_s
+                callers.send_streams(
+                    env, report, random.Random(f"{seed} stream {number}"), end_s
                 )
             )
             for number in range(_STREAM_CALLERS)
         ]
         for number in range(_JOB_CALLERS):
-            caller = callers.JobCaller(
-                items, report, random.Random(f"{seed} job {number}")
+            caller = callers.JobClient(
+                env, report, random.Random(f"{seed} job {number}")
             )
-            tasks.append(asyncio.ensure_future(caller.run(until_s + _FINISH_S)))
-        names = await faults.inject(items, generator, until_s)
+            tasks.append(asyncio.ensure_future(caller.run(end_s + _FINISH_S)))
+        names = await faults.inject(env, generator, end_s)
         await asyncio.gather(*tasks)
-        callers.check_runs(items, report)
-        return report, names, items.read_logs()
+        callers.check_runs(env, report)
+        return report, names, env.read_logs()
     finally:
-        await items.stop()
+        await env.stop()
 
 
 def main() -> int:
-    """Play seeds and print a line for each; the status says whether all held."""
+    """Run the seeds, print a line for each, and return 1 on a violation."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", default="1-10", help="first and last, such as 1-50")
-    parser.add_argument("--fresh", type=int, default=0, help="seeds drawn just now")
+    parser.add_argument(
+        "--seeds", default="1-10", help="first and last seed, such as 1-50"
+    )
+    parser.add_argument(
+        "--fresh", type=int, default=0, help="number of random seeds to draw instead"
+    )
     parser.add_argument("--fault-s", type=float, default=_FAULT_S)
     parser.add_argument("--logs", type=pathlib.Path, default=pathlib.Path("build/soak"))
     arguments = parser.parse_args()
@@ -67,19 +71,19 @@
         seeds = [random.SystemRandom().getrandbits(32) for _ in range(arguments.fresh)]
     failed = 0
     for seed in seeds:
-        began_s = time.monotonic()
-        report, names, log = asyncio.run(play(seed, arguments.fault_s))
-        took_s = time.monotonic() - began_s
+        started_s = time.monotonic()
+        report, names, log = asyncio.run(run_seed(seed, arguments.fault_s))
+        elapsed_s = time.monotonic() - started_s
         print(
             f"seed {seed}: served {report.served} refused {report.refused} failed "
             f"{report.failed} jobs {report.jobs} items {report.items} faults "
-            f"{len(names)} broken {len(report.broken)} in {took_s:.1f} s",
+            f"{len(names)} broken {len(report.violations)} in {elapsed_s:.1f} s",
             flush=True,
         )
-        if not report.broken:
+        if not report.violations:
             continue
         failed += 1
-        for line in report.broken:
+        for line in report.violations:
             print(f"  {line[:300]}", flush=True)
         print(f"  faults: {', '.join(names)}", flush=True)
         arguments.logs.mkdir(parents=True, exist_ok=True)
