--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around endivevane, for demos and tests."""
+"""Stand-ins for the systems that endivevane depends on, for demos and tests."""
--- a/standins/balancer.py
+++ b/standins/balancer.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's balancer: TCP round robin over the ready daemons."""
+"""Stand-in for the platform's load balancer: TCP round robin over ready daemons."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Balancer:
-    """Passes connections on and checks which backends are ready.
+    """Forwards connections to backends that pass their readiness checks.
 
     :param addresses: ``host:port`` of each daemon
     """
@@ -40,18 +40,18 @@
         self._inward = piping.Direction(bytes_per_s=0)
 
     def add(self, app: web.Application) -> None:
-        """Add the tasks that run while the application runs."""
+        """Register the readiness checks with the application."""
         app.cleanup_ctx.append(self._check_backends)
 
     def record(self) -> dict[str, typing.Any]:
-        """Return connections per backend and connections that found none ready."""
+        """Return the connections per backend and those refused for lack of one."""
         backends = [dataclasses.asdict(backend) for backend in self._backends]
         return {"backends": backends, "refused": self._refused}
 
     async def serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Connect a caller to the next ready backend and copy both ways."""
+        """Connect a client to the next ready backend and copy bytes both ways."""
         opened = await self._open_backend()
         if opened is None:
             self._refused += 1
--- a/standins/batching.py
+++ b/standins/batching.py
@@ -1,4 +1,4 @@
-"""Continuous batching: running requests that take a step together, and a FIFO list."""
+"""Continuous batching: requests that decode in common steps, and a FIFO queue."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RunState(enum.StrEnum):
-    """Where a run is."""
+    """State of a run."""
 
     WAITING = "waiting"
     STARTED = "started"
@@ -58,7 +58,7 @@
         return self.state in (RunState.FINISHED, RunState.CANCELLED)
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return the entry for the record."""
+        """Return the run as an entry of the record."""
         return {
             "attempt_id": self.attempt_id,
             "request_key": self.request_key,
@@ -75,14 +75,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Pace:
-    """How fast the engine is.
-
-    :param slots: requests that run together
-    :param token_ms: time of one step
-    :param prefill_ms: fixed part of the time before the first token
-    :param prefill_token_ms: further time per prompt token that is not cached
-    :param step_groups: groups of running requests that step at different moments
+class Timing:
+    """Capacity and timing of the engine.
+
+    :param slots: requests that can run concurrently
+    :param token_ms: duration of a decoding step
+    :param prefill_ms: fixed part of the prefill time
+    :param prefill_token_ms: additional time per uncached prompt token
+    :param step_groups: groups of running requests, which step at different times
     """
 
     slots: int
@@ -93,23 +93,23 @@
 
 
 class Batcher:
-    """Starts waiting requests in order of arrival and steps the running ones.
+    """Schedules requests in order of arrival and runs their decoding steps.
 
     :param current_faults: ``crash_on`` and ``token_ms`` apply here
     """
 
     def __init__(
         self,
-        pace: Pace,
+        timing: Timing,
         cache: prefix_cache.PrefixCache,
         current_faults: faults.Faults,
     ) -> None:
-        self._pace = pace
+        self._timing = timing
         self._cache = cache
         self._faults = current_faults
         self._waiting: collections.deque[Run] = collections.deque()
-        self._groups: list[dict[Run, None]] = [{} for _ in range(pace.step_groups)]
-        self._changed: list[abc.Callable[[], None]] = []
+        self._groups: list[dict[Run, None]] = [{} for _ in range(timing.step_groups)]
+        self._callbacks: list[abc.Callable[[], None]] = []
 
     @property
     def running(self) -> int:
@@ -118,15 +118,15 @@
 
     @property
     def waiting(self) -> int:
-        """Number of requests in the waiting list."""
+        """Number of queued requests."""
         return len(self._waiting)
 
     def on_change(self, callback: abc.Callable[[], None]) -> None:
-        """Call a function after each change of the two numbers."""
-        self._changed.append(callback)
+        """Register a function to call after each change of the load."""
+        self._callbacks.append(callback)
 
     def submit(self, run: Run) -> None:
-        """Add a request to the waiting list."""
+        """Queue a request."""
         run.accepted_at_s = time.time()
         self._waiting.append(run)
         self._fill_slots()
@@ -146,10 +146,10 @@
         number = 0
         due_s = loop.time()
         while True:
-            token_ms = self._faults.token_ms or self._pace.token_ms
+            token_ms = self._faults.token_ms or self._timing.token_ms
             interval_s = token_ms / 1000 / len(self._groups)
             due_s += interval_s
-            # A late step is made up for; the steps missed in a pause are not.
+            # Catches up after a late step, but not on the steps missed in a pause.
             if due_s < loop.time() - interval_s:
                 due_s = loop.time()
             await asyncio.sleep(due_s - loop.time())
@@ -172,21 +172,21 @@
             self._fill_slots()
 
     def _fill_slots(self) -> None:
-        while self._waiting and self.running < self._pace.slots:
+        while self._waiting and self.running < self._timing.slots:
             self._start(self._waiting.popleft())
-        for callback in self._changed:
+        for callback in self._callbacks:
             callback()
 
     def _start(self, run: Run) -> None:
         if self._faults.crash_on and self._faults.crash_on.encode() in run.prompt:
-            # The record in memory ends with the process; this line outlives it.
+            # The record in memory is lost with the process; this line stays in the log.
             sys.stderr.write("crashed\n")
             sys.stderr.flush()
             os._exit(_CRASH_STATUS)
         run.cached_blocks = self._cache.count_cached(run.hashes)
         cached_bytes = run.cached_blocks * completions.PREFIX_BLOCK_BYTES
         tokens = completions.count_prompt_tokens(run.prompt[cached_bytes:])
-        prefill_ms = self._pace.prefill_ms + tokens * self._pace.prefill_token_ms
+        prefill_ms = self._timing.prefill_ms + tokens * self._timing.prefill_token_ms
         self._cache.store(run.hashes)
         run.state = RunState.STARTED
         run.started_at_s = time.time()
--- a/standins/completions.py
+++ b/standins/completions.py
@@ -1,4 +1,4 @@
-"""Deterministic output of the model engine, and the prompt's digest and prefixes."""
+"""Deterministic completions of the engine, and digests and prefix hashes of prompts."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 def make_token(digest: str, index: int) -> str:
-    """Return token number ``index`` of the answer to a prompt."""
+    """Return the token at an index of the completion of a prompt."""
     return hashlib.sha256(f"{digest}:{index}".encode()).hexdigest()[:6] + " "
 
 
 def expected_text(
     messages: list[dict[str, typing.Any]], max_tokens: int = DEFAULT_MAX_TOKENS
 ) -> str:
-    """Return the whole answer of the engine to a prompt."""
+    """Return the complete text with which the engine responds to a prompt."""
     digest = digest_messages(messages)
     return "".join(make_token(digest, index) for index in range(max_tokens))
 
 
 def render_prompt(messages: list[dict[str, typing.Any]]) -> bytes:
-    r"""Return the prompt as bytes: ``role\ncontent\n`` of each message in turn."""
+    r"""Return the prompt as bytes: ``role\ncontent\n`` for each message."""
     parts = []
     for message in messages:
         content = message.get("content") or ""
@@ -51,10 +51,9 @@
 
 
 def hash_prefixes(model: str, prompt: bytes) -> list[int]:
-    """Return one hash per whole block of 256 bytes, each over all bytes before its end.
+    """Return one hash per full block of 256 bytes, each over the prefix up to its end.
 
-    The model's name goes in first, since the cache of one model is of no use to
-    another.
+    The model's name is hashed first, since models cannot share cached blocks.
     """
     state = xxhash.xxh64(model.encode() + b"\n")
     hashes = []
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -23,11 +23,11 @@
 )
 
 _SWEEP_INTERVAL_S = 0.25
-_KEPT_LOADS_S = 30.0
+_LOAD_HISTORY_S = 30.0
 
 
 class RequestError(Exception):
-    """A request that the engine refuses with an error in the OpenAI format."""
+    """A rejected request, reported as an error in the OpenAI format."""
 
     def __init__(self, status: int, message: str, code: str) -> None:
         super().__init__(message)
@@ -36,7 +36,7 @@
         self.code = code
 
     def make_response(self) -> web.Response:
-        """Return the response; every refusal here comes before a run."""
+        """Return the response; a request is only rejected before it runs."""
         error = {
             "message": self.message,
             "type": "invalid_request_error",
@@ -48,17 +48,19 @@
 
 
 class Engine:
-    """The HTTP side of the engine."""
+    """HTTP routes of the engine."""
 
-    def __init__(self, arguments: argparse.Namespace, current: faults.Faults) -> None:
-        self._faults = current
+    def __init__(
+        self, arguments: argparse.Namespace, current_faults: faults.Faults
+    ) -> None:
+        self._faults = current_faults
         self._cache = prefix_cache.PrefixCache(
             arguments.cache_blocks,
             arguments.event_lag_s,
             arguments.gap_share,
             arguments.seed,
         )
-        pace = batching.Pace(
+        timing = batching.Timing(
             arguments.slots,
             arguments.token_ms,
             arguments.prefill_ms,
@@ -68,15 +70,15 @@
         self._slots = arguments.slots
         self._lag_s = arguments.lag_s
         self._keep_s = arguments.keep_s
-        self.batcher = batching.Batcher(pace, self._cache, current)
-        self.loaded = loaded.LoadedModels(arguments, current)
+        self.batcher = batching.Batcher(timing, self._cache, current_faults)
+        self.loaded = loaded.LoadedModels(arguments, current_faults)
         self._runs: list[batching.Run] = []
         self._streams: dict[str, streams.Stream] = {}
         self._active: dict[str, batching.Run] = {}
         self._loads: list[tuple[float, dict[str, typing.Any]]] = []
-        self.batcher.on_change(self._note_load)
-        self.loaded.on_change(self._note_load)
-        self._note_load()
+        self.batcher.on_change(self._record_load)
+        self.loaded.on_change(self._record_load)
+        self._record_load()
 
     def add(self, app: web.Application) -> None:
         """Add the routes."""
@@ -92,26 +94,26 @@
         app.cleanup_ctx.append(self._run_tasks)
 
     def record(self) -> dict[str, typing.Any]:
-        """Return one entry per run, and the orders."""
+        """Return the runs and the orders."""
         return {
             "runs": [run.describe() for run in self._runs],
             "orders": self.loaded.orders,
         }
 
-    async def follow_faults(self, current: faults.Faults) -> None:
-        """Apply the faults that concern open streams and the cache."""
-        if current.gap_share is not None:
-            self._cache.gap_share = current.gap_share
-        if current.silent_after is None:
+    async def follow_faults(self, current_faults: faults.Faults) -> None:
+        """Apply the faults for open streams and the cache."""
+        if current_faults.gap_share is not None:
+            self._cache.gap_share = current_faults.gap_share
+        if current_faults.silent_after is None:
             return
         for stream in self._streams.values():
             if stream.connection is not None:
-                stream.connection.silence_after(current.silent_after)
-        current.silent_after = None
+                stream.connection.silence_after(current_faults.silent_after)
+        current_faults.silent_after = None
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
         """Run a chat completion."""
-        if self._faults.take("reject"):
+        if self._faults.consume("reject"):
             return RequestError(503, "the engine is busy", "busy").make_response()
         try:
             body = await request.json()
@@ -124,11 +126,11 @@
         self._runs.append(run)
         self._active[run.attempt_id] = run
         if not body.get("stream"):
-            return await self._complete_whole(request, run)
+            return await self._complete_unstreamed(request, run)
         options = body.get("stream_options") or {}
         wants_usage = bool(options.get("include_usage"))
         stream = streams.Stream(run, wants_usage, self._faults)
-        run.on_step = stream.write_due
+        run.on_step = stream.write_pending
         self._streams[run.attempt_id] = stream
         self.batcher.submit(run)
         return await streams.send_events(request, stream, 0)
@@ -151,7 +153,9 @@
             raise RequestError(503, message, "wrong_role")
         attempt_id = request.headers.get("X-Request-Id") or uuid.uuid4().hex
         if attempt_id in self._active:
-            raise RequestError(409, "the attempt is known already", "known_attempt")
+            raise RequestError(
+                409, "the attempt identifier is already in use", "known_attempt"
+            )
         prompt = completions.render_prompt(messages)
         return batching.Run(
             attempt_id=attempt_id,
@@ -164,16 +168,16 @@
             max_tokens=max_tokens,
         )
 
-    async def _complete_whole(
+    async def _complete_unstreamed(
         self, request: web.Request, run: batching.Run
     ) -> web.StreamResponse:
-        def drop_when_due() -> None:
+        def break_when_due() -> None:
             limit = self._faults.drop_after
             if limit is not None and run.tokens >= limit and not run.is_over:
                 self._faults.drop_after = None
                 faults.break_connection(request)
 
-        run.on_step = drop_when_due
+        run.on_step = break_when_due
         self.batcher.submit(run)
         try:
             await run.ended.wait()
@@ -186,7 +190,7 @@
         if run.state is batching.RunState.CANCELLED:
             error = {"message": "cancelled", "type": "cancelled", "code": "cancelled"}
             return web.json_response({"error": error}, status=499, headers=headers)
-        return web.json_response(_make_answer(run), headers=headers)
+        return web.json_response(_make_completion(run), headers=headers)
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
         """Continue a stream after the offset in ``Last-Event-ID``."""
@@ -196,9 +200,13 @@
         try:
             next_offset = int(request.headers.get("Last-Event-ID", "-1")) + 1
         except ValueError:
-            return RequestError(400, "bad offset", "bad_offset").make_response()
+            return RequestError(
+                400, "the offset is not a number", "bad_offset"
+            ).make_response()
         if not 0 <= next_offset <= stream.run.tokens + 1:
-            return RequestError(416, "offset ahead", "bad_offset").make_response()
+            return RequestError(
+                416, "the offset is ahead of the stream", "bad_offset"
+            ).make_response()
         return await streams.send_events(request, stream, next_offset)
 
     async def cancel(self, request: web.Request) -> web.Response:
@@ -210,17 +218,17 @@
         return web.json_response({"tokens": run.tokens})
 
     async def show_load(self, _request: web.Request) -> web.Response:
-        """Return the load as it was before the lag."""
+        """Return the load as of ``lag_s`` ago."""
         lag_s = self._lag_s if self._faults.lag_s is None else self._faults.lag_s
         as_of_s = time.time() - lag_s
-        shown = self._loads[0][1]
+        reported = self._loads[0][1]
         for since_s, load in self._loads:
             if since_s <= as_of_s:
-                shown = load
-        return web.json_response({"as_of_s": as_of_s, **shown})
+                reported = load
+        return web.json_response({"as_of_s": as_of_s, **reported})
 
     async def show_cache_events(self, request: web.Request) -> web.Response:
-        """Return cache events, late and with gaps."""
+        """Return cache events, delayed and with gaps."""
         after = int(request.query.get("after", "0"))
         return web.json_response({"events": self._cache.read_events(after)})
 
@@ -231,7 +239,7 @@
             return RequestError(404, "not cached", "not_cached").make_response()
         head = json.dumps({"prefix_hash": prefix_hash}).encode()
         if self._faults.crash_on_kv == "export":
-            # Long enough for the answer to leave.
+            # Leaves time to send the response.
             asyncio.get_running_loop().call_later(0.02, os._exit, 70)
         padding = bytes(completions.PREFIX_BLOCK_BYTES * 16)
         return web.Response(body=head + b"\n" + padding)
@@ -244,7 +252,7 @@
         self._cache.store([json.loads(head)["prefix_hash"]])
         return web.json_response({})
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now_s = time.time()
         load = {
             "running": self.batcher.running,
@@ -254,10 +262,10 @@
             **self.loaded.report(),
         }
         self._loads.append((now_s, load))
-        if self._loads[0][0] < now_s - 2 * _KEPT_LOADS_S:
-            limit_s = now_s - _KEPT_LOADS_S
-            older = [item for item in self._loads if item[0] < limit_s]
-            self._loads = older[-1:] + self._loads[len(older) :]
+        if self._loads[0][0] < now_s - 2 * _LOAD_HISTORY_S:
+            limit_s = now_s - _LOAD_HISTORY_S
+            expired = [item for item in self._loads if item[0] < limit_s]
+            self._loads = expired[-1:] + self._loads[len(expired) :]
 
     async def _run_tasks(self, _app: web.Application) -> typing.Any:
         tasks = [
@@ -269,7 +277,7 @@
             task.cancel()
 
     async def _sweep_forever(self) -> None:
-        """Cancel and forget streams whose time for resuming is over."""
+        """Cancel and remove broken streams that were not resumed in time."""
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
             for attempt_id, stream in list(self._streams.items()):
@@ -280,7 +288,7 @@
                 self._active.pop(attempt_id, None)
 
 
-def _make_answer(run: batching.Run) -> dict[str, typing.Any]:
+def _make_completion(run: batching.Run) -> dict[str, typing.Any]:
     text = "".join(
         completions.make_token(run.digest, index) for index in range(run.tokens)
     )
@@ -300,7 +308,7 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Return the arguments of the command line."""
+    """Parse the command line."""
     parser = serving.make_parser(__doc__)
     parser.add_argument("--model", action="append", default=[], metavar="NAME[@VER]")
     parser.add_argument("--adapter", action="append", default=[], metavar="MODEL:NAME")
@@ -312,13 +320,20 @@
     parser.add_argument("--cache-blocks", type=int, default=4096)
     parser.add_argument("--event-lag-s", type=float, default=0.5)
     parser.add_argument("--gap-share", type=float, default=0.05)
-    parser.add_argument("--lag-s", type=float, default=0.2, help="of load reports")
+    parser.add_argument("--lag-s", type=float, default=0.2, help="lag of load reports")
     parser.add_argument(
-        "--keep-s", type=float, default=10.0, help="time for resuming a broken stream"
+        "--keep-s",
+        type=float,
+        default=10.0,
+        help="period in which a broken stream can be resumed",
     )
-    parser.add_argument("--load-ms", type=float, default=500.0, help="of an order")
     parser.add_argument(
-        "--weights", metavar="HOST:PORT", help="weight store to load models from"
+        "--load-ms", type=float, default=500.0, help="duration of loading a model"
+    )
+    parser.add_argument(
+        "--weights",
+        metavar="HOST:PORT",
+        help="weight store from which models are loaded",
     )
     parser.add_argument("--ignore-fencing", action="store_true")
     parser.add_argument("--role", default="both", choices=("prefill", "decode", "both"))
@@ -329,13 +344,13 @@
 def main() -> None:
     """Serve an engine."""
     arguments = parse_arguments()
-    current = faults.Faults()
-    engine = Engine(arguments, current)
+    current_faults = faults.Faults()
+    engine = Engine(arguments, current_faults)
     app = serving.make_app()
     app[serving.CANCELS_HANDLERS] = True
     app[serving.LISTENERS] = [engine.follow_faults]
     engine.add(app)
-    serving.run(app, arguments, engine.record, current)
+    serving.run(app, arguments, engine.record, current_faults)
 
 
 if __name__ == "__main__":
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Fault switches that all stand-ins share, and the routes that set them."""
+"""Fault switches shared by all stand-ins, and the routes that set them."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
 
 @dataclasses.dataclass(slots=True)
 class Faults:
-    """The faults in force; the names are those of the control protocol.
-
-    :param down: no connection is accepted and open ones are broken
-    :param unavailable: every call is answered with 503 and is not applied
-    :param latency_ms: delay before a call is handled
-    :param lose_answer: next N writes take effect and get no answer
-    :param lose_answer_on: only writes to this table count, or to ``objects``
-    :param silent: new calls are accepted and never answered
-    :param silent_after: streams open now send N more tokens, then nothing
-    :param drop_after: the next stream that has sent N tokens loses its connection
-    :param reject: next N requests (all when true) get 503 with ``not-run``
-    :param crash_on: the process ends when a prompt with this text starts to run
-    :param crash_on_kv: the process ends after the export of a block has been answered
-        (``export``), or when the import of one arrives (``import``)
-    :param lag_s: age of load reports, or of the list of VMs
-    :param gap_share: share of cache events that are left out
-    :param ignore_fencing: orders with an old number are carried out
+    """The active faults, named as in the control protocol.
+
+    :param down: refuse connections and break open ones
+    :param unavailable: respond 503 to every call without applying it
+    :param latency_ms: delay before each call
+    :param lose_answer: apply the next N writes without a response
+    :param lose_answer_on: limit ``lose_answer`` to a table, or to ``objects``
+    :param silent: accept calls and never respond
+    :param silent_after: the open streams send N more tokens, then nothing
+    :param drop_after: break the next connection on which N tokens were sent
+    :param reject: reject the next N requests (all if true) with 503 and ``not-run``
+    :param crash_on: exit when a prompt with this text starts to run
+    :param crash_on_kv: exit after responding to the export of a block (``export``), or
+        when the import of one arrives (``import``)
+    :param lag_s: lag of load reports, or of the list of VMs
+    :param gap_share: share of cache events that are dropped
+    :param ignore_fencing: accept orders with a stale fencing token
+    :param token_ms: overrides the duration of a decoding step
     """
 
     down: bool = False
@@ -63,8 +64,8 @@
         for name, value in changes.items():
             setattr(self, name, value)
 
-    def take(self, name: str) -> bool:
-        """Return whether a counted fault applies now, and count it down."""
+    def consume(self, name: str) -> bool:
+        """Return whether a counted fault applies to this call, and decrement it."""
         value = getattr(self, name)
         if value is True:
             return True
@@ -73,32 +74,32 @@
         setattr(self, name, value - 1)
         return True
 
-    def take_lost_answer(self, tables: set[str]) -> bool:
-        """Return whether the answer of a write to these tables gets lost."""
+    def consume_lost_answer(self, tables: set[str]) -> bool:
+        """Return whether to lose the response to a write of these tables."""
         if self.lose_answer_on and self.lose_answer_on not in tables:
             return False
-        return self.take("lose_answer")
+        return self.consume("lose_answer")
 
 
 FAULTS = web.AppKey("faults", Faults)
 
 
 def break_connection(request: web.Request) -> None:
-    """Close the connection of a request without an answer."""
+    """Close the connection of a request without a response."""
     if request.transport is not None:
         request.transport.abort()
 
 
 @web.middleware
 async def apply_faults(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Apply the faults that concern any call; control routes are exempt."""
+    """Apply the faults that affect every call; control routes are exempt."""
     if request.path.startswith(CONTROL_PREFIX):
         return await handler(request)
     faults = request.app[FAULTS]
     if faults.latency_ms:
         await asyncio.sleep(faults.latency_ms / 1000)
     if faults.silent:
-        await _stay_silent(request)
+        await _wait_for_disconnect(request)
         return web.Response(status=503)
     if faults.down:
         break_connection(request)
@@ -108,8 +109,8 @@
     return await handler(request)
 
 
-async def _stay_silent(request: web.Request) -> None:
-    """Wait until the caller has closed its connection."""
+async def _wait_for_disconnect(request: web.Request) -> None:
+    """Wait until the client closes its connection."""
     while request.transport is not None and not request.transport.is_closing():
         await asyncio.sleep(0.1)
 
@@ -119,7 +120,7 @@
     listeners: list[Listener],
     record: abc.Callable[[], typing.Any],
 ) -> None:
-    """Add the routes for faults and for the record.
+    """Add the control routes for faults and the record.
 
     :param listeners: called after each change of the faults
     :param record: returns the record as a JSON value
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,8 +1,8 @@
-"""Stand-in for a network link: passes TCP connections to one address.
+"""Stand-in for a network link: forwards TCP connections to one address.
 
-Faults: ``down`` refuses and breaks connections; ``silent`` passes nothing on while it
-is set, as in a partition; ``silent_after`` of 0 silences the connections that are open
-now for good while new ones work; ``latency_ms`` applies to each direction.
+Faults: ``down`` refuses and breaks connections; ``silent`` forwards nothing while it is
+set, as in a partition; ``silent_after`` of 0 blocks the connections that are open now
+permanently, while new ones work; ``latency_ms`` applies to each direction.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 class Link:
-    """Passes connections to a target.
+    """Forwards connections to a target.
 
     :param listen: ``host:port`` of the link
-    :param target: ``host:port`` behind it
-    :param bytes_per_s: rate of each direction; 0 for no limit
+    :param target: ``host:port`` to which it forwards
+    :param bytes_per_s: rate limit of each direction; 0 for none
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.listener = piping.TcpListener(serving.split_address(listen), self._accept)
 
     def record(self) -> dict[str, typing.Any]:
-        """Return the numbers of connections and bytes."""
+        """Return the counts of connections and bytes."""
         return {
             "connections": self._connections,
             "open": len(self._pipes),
--- a/standins/loaded.py
+++ b/standins/loaded.py
@@ -1,4 +1,4 @@
-"""Models and adapters that the engine has loaded, and the orders that change them."""
+"""Loaded models and adapters of the engine, and the orders that change them."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 _ACTIONS = frozenset(
     {"load_model", "unload_model", "load_adapter", "unload_adapter", "set_role"}
 )
-_ADAPTER_LOAD_SHARE = 0.2
+_ADAPTER_LOAD_FACTOR = 0.2
 _RETRY_S = 0.2
 
 
 class LoadedModels:
-    """Keeps the loaded models and carries out orders one after the other."""
+    """Tracks the loaded models and executes orders sequentially."""
 
     def __init__(self, arguments: argparse.Namespace, current: faults.Faults) -> None:
         self._faults = current
@@ -29,13 +29,13 @@
         self._load_ms = arguments.load_ms
         self._weights = arguments.weights
         self._role = arguments.role
-        self._fencing_number = 0
+        self._fencing_token = 0
         self._models: dict[tuple[str, str], list[str]] = {}
         self._in_progress = 0
         self._lock = asyncio.Lock()
         self._tasks: set[asyncio.Task[None]] = set()
         self.orders: list[dict[str, typing.Any]] = []
-        self._changed: list[abc.Callable[[], None]] = []
+        self._callbacks: list[abc.Callable[[], None]] = []
         for text in arguments.model:
             name, _, version = text.partition("@")
             self._models[name, version or "1"] = []
@@ -50,23 +50,23 @@
         app.router.add_get("/v1/models", self.list)
 
     def on_change(self, callback: abc.Callable[[], None]) -> None:
-        """Call a function after each change."""
-        self._changed.append(callback)
+        """Register a function to call after each change."""
+        self._callbacks.append(callback)
 
     @property
     def role(self) -> str:
-        """The role in force."""
+        """The current role."""
         return self._role
 
     def offers(self, name: str) -> bool:
-        """Return whether requests for a model or an adapter can run."""
+        """Return whether a model or adapter is loaded."""
         return any(
             name == model or name in adapters
             for (model, _), adapters in self._models.items()
         )
 
     def report(self) -> dict[str, typing.Any]:
-        """Return the part of the load report that concerns models."""
+        """Return the models and role for the load report."""
         models = [
             {"model": name, "version": version, "adapters": list(adapters)}
             for (name, version), adapters in sorted(self._models.items())
@@ -74,11 +74,11 @@
         return {
             "models": models,
             "role": self._role,
-            "fencing_number": self._fencing_number,
+            "fencing_number": self._fencing_token,
         }
 
     async def show(self, _request: web.Request) -> web.Response:
-        """Return what is loaded now."""
+        """Return the loaded models and how many orders are in progress."""
         return web.json_response({**self.report(), "in_progress": self._in_progress})
 
     async def list(self, _request: web.Request) -> web.Response:
@@ -90,50 +90,50 @@
         return web.json_response({"object": "list", "data": data})
 
     async def accept(self, request: web.Request) -> web.Response:
-        """Accept an order, or refuse it because its number is old."""
+        """Accept an order, or reject it if its fencing token is stale."""
         order = await request.json()
-        number, action = order.get("fencing_number"), order.get("action")
-        if action not in _ACTIONS or not isinstance(number, int):
+        token, action = order.get("fencing_number"), order.get("action")
+        if action not in _ACTIONS or not isinstance(token, int):
             return web.json_response({"error": "malformed order"}, status=400)
-        is_old = number < self._fencing_number
-        is_refused = is_old and not self._ignores_old_numbers()
+        is_stale = token < self._fencing_token
+        is_refused = is_stale and not self._ignores_stale_tokens()
         self.orders.append(
-            {**order, "at_s": time.time(), "old": is_old, "accepted": not is_refused}
+            {**order, "at_s": time.time(), "old": is_stale, "accepted": not is_refused}
         )
         if is_refused:
-            body = {"error": "old fencing number", "current": self._fencing_number}
+            body = {"error": "stale fencing token", "current": self._fencing_token}
             return web.json_response(body, status=409)
-        self._fencing_number = max(number, self._fencing_number)
+        self._fencing_token = max(token, self._fencing_token)
         self._in_progress += 1
         self._notify()
-        task = asyncio.create_task(self._carry_out(order))
+        task = asyncio.create_task(self._execute(order))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return web.json_response({"state": "accepted"}, status=202)
 
     def _notify(self) -> None:
-        for callback in self._changed:
+        for callback in self._callbacks:
             callback()
 
-    def _ignores_old_numbers(self) -> bool:
+    def _ignores_stale_tokens(self) -> bool:
         if self._faults.ignore_fencing is not None:
             return self._faults.ignore_fencing
         return self._ignores_fencing
 
-    async def _carry_out(self, order: dict[str, typing.Any]) -> None:
+    async def _execute(self, order: dict[str, typing.Any]) -> None:
         async with self._lock:
             action = order["action"]
             if action == "load_model":
                 await self._fetch_weights(order)
                 await asyncio.sleep(self._load_ms / 1000)
             elif action == "load_adapter":
-                await asyncio.sleep(self._load_ms / 1000 * _ADAPTER_LOAD_SHARE)
+                await asyncio.sleep(self._load_ms / 1000 * _ADAPTER_LOAD_FACTOR)
             self._apply(order)
             self._in_progress -= 1
             self._notify()
 
     async def _fetch_weights(self, order: dict[str, typing.Any]) -> None:
-        """Read the weights, at the rate that the weight store allows."""
+        """Download the weights, at the rate of the weight store."""
         if not self._weights:
             return
         name, version = order.get("model", ""), order.get("version") or "1"
--- a/standins/piping.py
+++ b/standins/piping.py
@@ -1,4 +1,4 @@
-"""Passes bytes between two connections, with latency, a rate and silence."""
+"""Forwards bytes between two connections, with latency, a rate limit and faults."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class Direction:
-    """One direction of a link, shared by all connections.
+    """One direction of a link, whose rate all connections share.
 
-    :param bytes_per_s: rate of the direction; 0 for no limit
+    :param bytes_per_s: rate limit; 0 for none
     """
 
     def __init__(self, bytes_per_s: float) -> None:
@@ -24,7 +24,7 @@
         self.passed_bytes = 0
 
     def reserve(self, size_bytes: int, now_s: float) -> float:
-        """Return when the last of some bytes has been sent at the rate."""
+        """Reserve capacity for some bytes and return when the last one is sent."""
         self.passed_bytes += size_bytes
         if not self._bytes_per_s:
             return now_s
@@ -35,9 +35,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Conditions:
-    """What a link does to the bytes now.
+    """Current conditions on a link.
 
-    :param is_silent: nothing is passed on until this is false again
+    :param is_silent: forward nothing while this is set
     """
 
     latency_s: float = 0.0
@@ -45,9 +45,9 @@
 
 
 class Pipe:
-    """Two connections that pass bytes to each other.
+    """Two connections between which bytes are forwarded.
 
-    :param is_muted: stays silent for good, though both connections remain open
+    :param is_muted: forward nothing any more, while both connections stay open
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.is_muted = False
 
     async def run(self, outward: Direction, inward: Direction) -> None:
-        """Pass bytes until both sides have ended, or one has broken."""
+        """Forward bytes until both sides have ended or one has broken."""
         await asyncio.gather(
             self._copy(self._caller[0], self._target[1], outward),
             self._copy(self._target[0], self._caller[1], inward),
@@ -81,7 +81,7 @@
         writer: asyncio.StreamWriter,
         direction: Direction,
     ) -> None:
-        """Copy one direction; a broken side breaks the other one too."""
+        """Copy one direction; an error on one side aborts both."""
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(_QUEUED_CHUNKS)
         sender = asyncio.create_task(self._send(queue, writer))
         time = asyncio.get_running_loop().time
@@ -128,7 +128,7 @@
 
 
 class TcpListener:
-    """A listening TCP socket that can be closed and opened again.
+    """A listening TCP socket that can be closed and reopened.
 
     :param accept: coroutine function that serves one connection
     """
@@ -139,14 +139,14 @@
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Listen, unless it does already."""
+        """Start listening, unless already open."""
         if self._server is None:
             self._server = await asyncio.start_server(
                 self._accept, *self._address, backlog=1024
             )
 
     def close(self) -> None:
-        """Stop listening; open connections go on."""
+        """Stop listening; open connections stay open."""
         if self._server is not None:
             self._server.close()
             self._server = None
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -20,8 +20,8 @@
 class TableRoutes:
     """The table service.
 
-    :param writes_per_s: limit of row writes
-    :param reads_per_s: limit of reads; a scan counts as one
+    :param writes_per_s: rate limit of row writes
+    :param reads_per_s: rate limit of reads; a scan counts as one read
     """
 
     def __init__(self, writes_per_s: float, reads_per_s: float) -> None:
@@ -48,12 +48,12 @@
         wait_s = self._writes.take(len(transaction.writes))
         if wait_s:
             self._tables.refused_writes += 1
-            return _refuse(wait_s)
+            return _reject(wait_s)
         revision, conflicts = self._tables.transact(transaction)
         if conflicts:
             return web.json_response({"conflicts": conflicts}, status=409)
         written = {write.table for write in transaction.writes}
-        if request.app[faults.FAULTS].take_lost_answer(written):
+        if request.app[faults.FAULTS].consume_lost_answer(written):
             faults.break_connection(request)
         return web.json_response({"revision": revision})
 
@@ -62,7 +62,7 @@
         wait_s = self._reads.take(1)
         if wait_s:
             self._tables.refused_reads += 1
-            return _refuse(wait_s)
+            return _reject(wait_s)
         row = self._tables.read(request.match_info["table"], request.match_info["key"])
         if row is None:
             return web.json_response({"error": "no such row"}, status=404)
@@ -73,7 +73,7 @@
         wait_s = self._reads.take(1)
         if wait_s:
             self._tables.refused_reads += 1
-            return _refuse(wait_s)
+            return _reject(wait_s)
         rows = self._tables.scan(
             request.match_info["table"],
             request.query.get("prefix", ""),
@@ -114,12 +114,12 @@
             return web.Response(status=412)
         self._objects[key] = data
         self._writes.append({"key": key, "size_bytes": len(data), "at_s": time.time()})
-        if request.app[faults.FAULTS].take_lost_answer({"objects"}):
+        if request.app[faults.FAULTS].consume_lost_answer({"objects"}):
             faults.break_connection(request)
         return web.Response(status=201)
 
     async def get(self, request: web.Request) -> web.Response:
-        """Return an object or a range of it; also answers HEAD."""
+        """Return an object or a range of it; also handles HEAD."""
         data = self._objects.get(request.match_info["key"])
         if data is None:
             return web.Response(status=404)
@@ -154,9 +154,9 @@
 
 
 class VmRoutes:
-    """The list of VMs, shown with a lag.
+    """The list of VMs, which is reported with a lag.
 
-    :param lag_s: age of the shown list, unless the fault ``lag_s`` is set
+    :param lag_s: lag, unless the fault ``lag_s`` is set
     """
 
     def __init__(self, lag_s: float) -> None:
@@ -169,7 +169,7 @@
         app.router.add_post("/_control/vms", self.change)
 
     async def show(self, request: web.Request) -> web.Response:
-        """Return the list as it was before the lag."""
+        """Return the list as of the lag ago."""
         lag_s = request.app[faults.FAULTS].lag_s
         as_of_s = time.time() - (self._lag_s if lag_s is None else lag_s)
         shown = self._versions[0][1]
@@ -189,9 +189,9 @@
 
 
 class WeightRoutes:
-    """The weight store: sends made-up bytes at a limited rate.
+    """The weight store: sends placeholder bytes at a limited rate.
 
-    :param bytes_per_s: limit over all readers
+    :param bytes_per_s: total rate limit of all readers
     """
 
     def __init__(self, bytes_per_s: float, size_bytes: int) -> None:
@@ -208,19 +208,19 @@
         response = web.StreamResponse()
         response.content_length = self._size_bytes
         await response.prepare(request)
-        left = self._size_bytes
-        while left:
-            part = min(left, _CHUNK_BYTES)
+        remaining = self._size_bytes
+        while remaining:
+            part = min(remaining, _CHUNK_BYTES)
             start_s = max(self._free_at_s, time.monotonic())
             self._free_at_s = start_s + part / self._bytes_per_s
             await asyncio.sleep(self._free_at_s - time.monotonic())
             await response.write(bytes(part))
-            left -= part
+            remaining -= part
         await response.write_eof()
         return response
 
 
-def _refuse(wait_s: float) -> web.Response:
+def _reject(wait_s: float) -> web.Response:
     headers = {"Retry-After": f"{wait_s:.3f}"}
     return web.json_response({"error": "rate limit"}, status=429, headers=headers)
 
@@ -230,7 +230,7 @@
     parser = serving.make_parser(__doc__)
     parser.add_argument("--writes-per-s", type=float, default=300.0)
     parser.add_argument("--reads-per-s", type=float, default=2000.0)
-    parser.add_argument("--lag-s", type=float, default=1.0, help="of the VM list")
+    parser.add_argument("--lag-s", type=float, default=1.0, help="lag of the VM list")
     parser.add_argument("--weights-bytes-per-s", type=float, default=100e6)
     parser.add_argument("--weights-bytes", type=int, default=1_000_000)
     arguments: argparse.Namespace = parser.parse_args()
--- a/standins/prefix_cache.py
+++ b/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Small cache of prompt prefixes with events that are late and have gaps."""
+"""Small cache of prompt prefixes, whose events are delayed and have gaps."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class PrefixCache:
-    """Remembers the most recently used prefix hashes.
+    """LRU cache of prefix hashes.
 
-    :param capacity: blocks that fit
-    :param event_lag_s: age at which an event can be read
-    :param gap_share: share of events that can never be read
-    :param seed: decides which events are left out
+    :param capacity: maximum number of blocks
+    :param event_lag_s: delay until an event can be read
+    :param gap_share: share of events that are dropped
+    :param seed: seed for the choice of dropped events
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         return prefix_hash in self._blocks
 
     def count_cached(self, hashes: list[int]) -> int:
-        """Return how many leading blocks are cached."""
+        """Return the number of leading blocks that are cached."""
         for index, prefix_hash in enumerate(hashes):
             if prefix_hash not in self._blocks:
                 return index
--- a/standins/region_link.py
+++ b/standins/region_link.py
@@ -1,10 +1,10 @@
-"""Stand-in for the link between two regions: many TCP routes, one link.
+"""Stand-in for the link between two regions, with many TCP routes.
 
 All routes share the rate of each direction and the fault switches. ``down`` refuses and
-breaks connections. ``silent`` loses packets: nothing is passed on and new connections
-time out, as they do when their first packet is lost. ``silent_after`` of 0 silences the
+breaks connections. ``silent`` loses packets: nothing is forwarded, and new connections
+time out as if their first packet had been lost. ``silent_after`` of 0 blocks the
 connections that are open now; ``POST /_control/mute {"routes": [...]}`` does so for the
-named routes alone.
+named routes only.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where a daemon of one region reaches an address of the other one.
+    """Local address through which a daemon reaches an address in the other region.
 
-    :param is_outward: whether the first region opens the connections
+    :param is_outward: whether connections are opened from the first region
     """
 
     name: str
@@ -36,17 +36,17 @@
 
     @classmethod
     def parse(cls, text: str) -> typing.Self:
-        """Read ``NAME,LISTEN,TARGET,outward|inward``."""
+        """Parse ``NAME,LISTEN,TARGET,outward|inward``."""
         name, listen, target, side = text.split(",")
         split = serving.split_address
         return cls(name, split(listen), split(target), side == "outward")
 
 
-class Gate:
+class RouteListener:
     """The listening socket of a route.
 
-    While the link is silent, the queue of connections to accept is kept full, so that
-    the kernel drops the first packet of each new one.
+    While the link is silent, the accept backlog is kept full, so that the kernel drops
+    the first packet of each new connection.
     """
 
     def __init__(self, route: Route, accept: piping.Accept) -> None:
@@ -54,40 +54,40 @@
         self._accept = accept
         self._socket: socket.socket | None = None
         self._task: asyncio.Task[None] | None = None
-        self._filler: socket.socket | None = None
+        self._backlog_filler: socket.socket | None = None
 
     def open(self) -> None:
-        """Listen and accept, unless it does already."""
+        """Start listening and accepting, unless already open."""
         if self._task is not None:
             return
         if self._socket is None:
             self._socket = socket.create_server(self._route.listen, backlog=_BACKLOG)
             self._socket.setblocking(False)
-        if self._filler is not None:
-            self._filler.close()
-            self._filler = None
+        if self._backlog_filler is not None:
+            self._backlog_filler.close()
+            self._backlog_filler = None
             self._socket.listen(_BACKLOG)
         self._task = asyncio.create_task(self._run(self._socket))
 
     async def silence(self) -> None:
-        """Let new connections time out."""
+        """Make new connections time out."""
         self.open()
-        await self._stop()
-        if self._socket is not None and self._filler is None:
+        await self._stop_accepting()
+        if self._socket is not None and self._backlog_filler is None:
             self._socket.listen(0)
-            self._filler = socket.socket()
-            self._filler.setblocking(False)
-            self._filler.connect_ex(self._route.listen)
+            self._backlog_filler = socket.socket()
+            self._backlog_filler.setblocking(False)
+            self._backlog_filler.connect_ex(self._route.listen)
 
     async def close(self) -> None:
         """Refuse new connections."""
-        await self._stop()
-        for item in (self._socket, self._filler):
+        await self._stop_accepting()
+        for item in (self._socket, self._backlog_filler):
             if item is not None:
                 item.close()
-        self._socket = self._filler = None
+        self._socket = self._backlog_filler = None
 
-    async def _stop(self) -> None:
+    async def _stop_accepting(self) -> None:
         task, self._task = self._task, None
         if task is not None:
             task.cancel()
@@ -109,9 +109,9 @@
 
 
 class RegionLink:
-    """Passes the connections of all routes.
+    """Forwards the connections of all routes.
 
-    :param bytes_per_s: rate of each direction; 0 for no limit
+    :param bytes_per_s: rate limit of each direction; 0 for none
     """
 
     def __init__(
@@ -123,10 +123,12 @@
         self._inward = piping.Direction(bytes_per_s)
         self._pipes: dict[piping.Pipe, str] = {}
         self._connections: dict[str, int] = {route.name: 0 for route in routes}
-        self._gates = [Gate(route, self._make_accept(route)) for route in routes]
+        self._listeners = [
+            RouteListener(route, self._make_accept(route)) for route in routes
+        ]
 
     def record(self) -> dict[str, typing.Any]:
-        """Return connections by route, and the bytes of each direction."""
+        """Return the connections by route and the bytes by direction."""
         return {
             "connections": self._connections,
             "open": len(self._pipes),
@@ -143,19 +145,19 @@
         if current.silent_after is not None:
             current.silent_after = None
             self.mute(list(self._connections))
-        for gate in self._gates:
+        for listener in self._listeners:
             if current.down:
-                await gate.close()
+                await listener.close()
             elif current.silent:
-                await gate.silence()
+                await listener.silence()
             else:
-                gate.open()
+                listener.open()
         if current.down:
             for pipe in list(self._pipes):
                 pipe.abort()
 
     def mute(self, names: list[str]) -> int:
-        """Silence the open connections of some routes for good; return their number."""
+        """Block the open connections of some routes for good; return their number."""
         muted = [pipe for pipe, name in self._pipes.items() if name in names]
         for pipe in muted:
             pipe.is_muted = True
@@ -190,18 +192,18 @@
         muted = link.mute((await request.json())["routes"])
         return web.json_response({"muted": muted})
 
-    async def open_gates(app: web.Application) -> None:
+    async def open_listeners(app: web.Application) -> None:
         await link.follow_faults(app[faults.FAULTS])
 
     app = serving.make_app()
     app[serving.LISTENERS] = [link.follow_faults]
     app.router.add_post("/_control/mute", mute)
-    app.on_startup.append(open_gates)
+    app.on_startup.append(open_listeners)
     return app
 
 
 def main() -> None:
-    """Serve a link between regions; ``--listen`` has the control routes only."""
+    """Serve a link between regions; ``--listen`` only has the control routes."""
     parser = serving.make_parser(__doc__)
     parser.add_argument("--route", action="append", type=Route.parse, required=True)
     parser.add_argument("--latency-ms", type=float, default=20.0)
--- a/standins/replica.py
+++ b/standins/replica.py
@@ -1,6 +1,7 @@
-"""A small target that speaks the users' published protocol and can misbehave.
+"""A small target that speaks the users' published protocol and can violate it.
 
-It shares no code with the daemon; it writes raw HTTP, so that it can also break it.
+It shares no code with the daemon and writes raw HTTP, so that it can send invalid
+responses.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 @dataclasses.dataclass
 class Run:
-    """A request that the target began to work on."""
+    """A request that the target started to run."""
 
     attempt: str
     path: str
@@ -24,35 +25,35 @@
 
 @dataclasses.dataclass
 class Manner:
-    """How the target treats the next requests.
+    """How the target responds to the next requests.
 
-    :ivar events: events of a stream
+    :ivar events: number of events in a stream
     :ivar gap_s: time between events
-    :ivar first_s: time before the answer begins
-    :ivar cut_after: cut the stream behind this many events, -1 for never
-    :ivar cuts: how many streams are cut
-    :ivar status: answer with this status instead of a stream
-    :ivar refuse: refuse this many requests as not run
-    :ivar drop: read this many requests, run them and close without an answer
-    :ivar silent: read requests, run them and say nothing
-    :ivar extra: send a second answer behind each whole one
+    :ivar first_s: time until the response begins
+    :ivar cut_after: cut the stream after this many events, -1 for never
+    :ivar cuts: number of streams to cut
+    :ivar status: respond with this status instead of a stream
+    :ivar refuse: number of requests to refuse as not executed
+    :ivar drop: number of requests to run and close without a response
+    :ivar silent: run requests without responding
+    :ivar extra: send a second response after each complete one
     :ivar torn: send half of the event at which a stream is cut
-    :ivar pause_after: go silent behind this many events, -1 for never
-    :ivar pauses: how many streams go silent
-    :ivar reset_kept: reset a kept connection as soon as something is sent on it
-    :ivar extra_late: send the second answer where the next one is due
-    :ivar plain: answer with a length instead of a stream of events
-    :ivar plain_bytes: size of that answer
-    :ivar plain_cut: close behind half of that answer, this many times
-    :ivar leaving: say in all answers that the target leaves
-    :ivar unsigned: leave the signature out
-    :ivar flood: where bytes come without end, empty for nowhere; one of ``FLOODS``
-    :ivar floods: how many answers do so
-    :ivar drip_after: send single bytes of the next event behind this many events, -1
-        for never
-    :ivar drips: how many streams do so
-    :ivar by_close: end a stream by closing the connection, in the middle of an event
-    :ivar copy_refusal: send a refusal again where the next answer is due
+    :ivar pause_after: stop sending after this many events, -1 for never
+    :ivar pauses: number of streams that stop sending
+    :ivar reset_kept: reset a persistent connection as soon as it is reused
+    :ivar extra_late: send the second response ahead of the next one
+    :ivar plain: respond with a Content-Length instead of an event stream
+    :ivar plain_bytes: size of that response
+    :ivar plain_cut: number of such responses to cut in half
+    :ivar leaving: report in all responses that the target is draining
+    :ivar unsigned: omit the signature
+    :ivar flood: part of the response that never ends, one of ``FLOODS``; empty for none
+    :ivar floods: number of responses with such a part
+    :ivar drip_after: send the next event byte by byte after this many events, -1 for
+        never
+    :ivar drips: number of such streams
+    :ivar by_close: number of streams to end by closing the connection within an event
+    :ivar copy_refusal: send a refusal again ahead of the next response
     """
 
     events: int = 6
@@ -83,14 +84,14 @@
     copy_refusal: bool = False
 
 
-# Where bytes may come without end: in the head, in one line of it, as interim answers,
-# in the body of a refusal, in an event.
+# Parts that can be endless: the head, one line of it, interim responses, the body of a
+# refusal, an event.
 FLOODS = ("head", "line", "interim", "refusal", "event")
 _FLOOD_BYTES = 4096
 
 
 class Replica:
-    """Runs requests and remembers each of them."""
+    """Runs requests and records them."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -101,10 +102,10 @@
         self.port = 0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        # Connections that have carried an answer.
-        self._answered: set[asyncio.StreamWriter] = set()
-        # Refused attempts whose refusal is sent once more, by connection.
-        self._copies: dict[asyncio.StreamWriter, str] = {}
+        # Connections on which a response was sent.
+        self._responded: set[asyncio.StreamWriter] = set()
+        # Attempts whose refusal is to be sent again, by connection.
+        self._copied_refusals: dict[asyncio.StreamWriter, str] = {}
         self.flooded_bytes = 0
 
     async def start(self, port: int = 0) -> None:
@@ -113,7 +114,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close all connections, as a crash does."""
+        """Abort all connections, as in a crash."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -147,7 +148,7 @@
             return
         finally:
             self._writers.discard(writer)
-            self._answered.discard(writer)
+            self._responded.discard(writer)
             writer.transport.abort()
 
     async def _serve_one(
@@ -170,7 +171,7 @@
             self.refused += 1
             self._write(writer, 503, attempt, b"", [("Not-Executed", "1")])
             if manner.copy_refusal:
-                self._copies[writer] = attempt
+                self._copied_refusals[writer] = attempt
             return True
         if manner.flood == "refusal" and manner.floods:
             manner.floods -= 1
@@ -182,8 +183,8 @@
             )
             await self._flood(writer, _chunk(b"x" * _FLOOD_BYTES))
             return False
-        if writer in self._copies:
-            copied = self._copies.pop(writer)
+        if writer in self._copied_refusals:
+            copied = self._copied_refusals.pop(writer)
             self._write(writer, 503, copied, b"", [("Not-Executed", "1")])
         run = Run(
             attempt=attempt,
@@ -206,39 +207,41 @@
             manner.drop -= 1
             run.ended = "dropped"
             return False
-        gone = asyncio.ensure_future(reader.read(1))
+        disconnect = asyncio.ensure_future(reader.read(1))
         try:
-            work = asyncio.ensure_future(self._answer(run, writer))
-            await asyncio.wait((gone, work), return_when=asyncio.FIRST_COMPLETED)
-            if not work.done():
+            response = asyncio.ensure_future(self._respond(run, writer))
+            await asyncio.wait(
+                (disconnect, response), return_when=asyncio.FIRST_COMPLETED
+            )
+            if not response.done():
                 run.ended = "cancelled"
-                work.cancel()
+                response.cancel()
                 return False
-            return work.result()
+            return response.result()
         finally:
-            gone.cancel()
+            disconnect.cancel()
             with contextlib.suppress(asyncio.CancelledError, OSError):
-                await gone
+                await disconnect
 
-    async def _answer(self, run: Run, writer: asyncio.StreamWriter) -> bool:
+    async def _respond(self, run: Run, writer: asyncio.StreamWriter) -> bool:
         manner = self.manner
         if manner.silent:
             await asyncio.sleep(3600)
         await asyncio.sleep(manner.first_s)
-        if manner.extra_late and writer in self._answered:
+        if manner.extra_late and writer in self._responded:
             self._write(writer, 200, "another-attempt", b"late answer", [])
-        self._answered.add(writer)
+        self._responded.add(writer)
         if manner.floods and manner.flood in ("head", "line", "interim"):
             manner.floods -= 1
             await self._flood_head(writer)
             return False
         if manner.status != 200 or manner.plain:
-            return self._answer_plain(run, writer)
+            return self._respond_plain(run, writer)
         writer.write(self._make_stream_head(run))
         for number in range(run.last_event + 1, manner.events + 1):
             await asyncio.sleep(manner.gap_s)
             event = make_event(run.attempt, number)
-            if await self._spoil(run, writer, number, event):
+            if await self._interrupt(run, writer, number, event):
                 return False
             writer.write(event if manner.by_close else _chunk(event))
             await writer.drain()
@@ -249,10 +252,10 @@
         run.ended = "done"
         return True
 
-    async def _spoil(
+    async def _interrupt(
         self, run: Run, writer: asyncio.StreamWriter, number: int, event: bytes
     ) -> bool:
-        """Break the stream off at an event if that is due; return whether it was."""
+        """Interrupt the stream at an event if a fault applies; return whether so."""
         manner = self.manner
         sent = number - run.last_event
         if manner.pauses and sent > manner.pause_after:
@@ -298,8 +301,8 @@
             lines.append("Transfer-Encoding: chunked")
         return "\r\n".join(lines).encode() + b"\r\n\r\n"
 
-    def _answer_plain(self, run: Run, writer: asyncio.StreamWriter) -> bool:
-        """Answer with a length; return whether the connection goes on."""
+    def _respond_plain(self, run: Run, writer: asyncio.StreamWriter) -> bool:
+        """Respond with a Content-Length; return whether to keep the connection."""
         manner = self.manner
         body = (b"plain body" * (manner.plain_bytes // 10 + 1))[: manner.plain_bytes]
         if not manner.plain_cut:
@@ -318,7 +321,7 @@
         return False
 
     async def _flood_head(self, writer: asyncio.StreamWriter) -> None:
-        """Send bytes that never make the head of an answer."""
+        """Send a response head that never ends."""
         pieces = {
             "head": b"X-Long: " + b"x" * 80 + b"\r\n",
             "line": b"x" * _FLOOD_BYTES,
@@ -329,7 +332,7 @@
         await self._flood(writer, pieces[self.manner.flood])
 
     async def _flood(self, writer: asyncio.StreamWriter, piece: bytes) -> None:
-        """Send the same bytes until the caller closes."""
+        """Send the same bytes until the client closes the connection."""
         while not writer.transport.is_closing():
             writer.write(piece)
             self.flooded_bytes += len(piece)
@@ -356,12 +359,12 @@
 
 
 def make_event(attempt: str, number: int) -> bytes:
-    """Return the bytes of an event, which do not depend on the target."""
+    """Return the bytes of an event, which are the same for all targets."""
     return f"id: {number}\ndata: {attempt} piece {number}\n\n".encode()
 
 
 async def _drip(writer: asyncio.StreamWriter, event: bytes) -> None:
-    """Send an event so slowly that it does not end while anybody waits."""
+    """Send an event byte by byte, too slowly to finish within a caller's timeout."""
     for position in range(len(event) - 1):
         writer.write(_chunk(event[position : position + 1]))
         await writer.drain()
--- a/standins/row_store.py
+++ b/standins/row_store.py
@@ -1,6 +1,6 @@
 """A small store of rows and objects that speaks the users' published protocol.
 
-It shares no code with the daemon. Faults are switched on by setting attributes.
+It shares no code with the daemon. Set attributes of its ``faults`` to inject faults.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 
 @dataclasses.dataclass
 class StoreFaults:
-    """What goes wrong.
-
-    :ivar status: answer every call with this status and do nothing
-    :ivar silent: accept calls and never answer
-    :ivar lose: transactions that are applied and not answered
-    :ivar lose_before: transactions that are neither applied nor answered
-    :ivar late_s: transactions are not answered and applied this much later
-    :ivar stale_by: reads show the rows of this many versions ago
+    """Faults of the store.
+
+    :ivar status: respond to every call with this status without applying it
+    :ivar silent: accept calls and never respond
+    :ivar lose: number of transactions to apply without a response
+    :ivar lose_before: number of transactions neither to apply nor to respond to
+    :ivar late_s: delay after which ``late`` transactions are applied
+    :ivar late: number of transactions to apply late, without a response
+    :ivar stale_by: number of versions by which reads are stale
     """
 
     status: int = 0
@@ -35,7 +36,7 @@
 
 
 class RowStore:
-    """Keeps rows, their history and objects in memory."""
+    """In-memory store of rows, their history and objects."""
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
@@ -57,7 +58,7 @@
         app.router.add_put("/api/blob-put/{name}", self._put_object)
         app.router.add_get("/api/blob-get/{name}", self._get_object)
         app.router.add_delete("/api/blob-drop/{name}", self._drop_object)
-        app.middlewares.append(self._fail)
+        app.middlewares.append(self._apply_faults)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.2)
         await self._runner.setup()
         site = web.TCPSite(self._runner, "127.0.0.1", port)
@@ -70,18 +71,18 @@
             await self._runner.cleanup()
 
     def write(self, table: str, key: str, value: object) -> int:
-        """Write a row as the operator or a target does, ``None`` deletes it."""
+        """Write a row as the operator or a target does; ``None`` deletes it."""
         content = None
         if value is not None:
             raw = value if isinstance(value, bytes) else json.dumps(value).encode()
             content = base64.b64encode(raw).decode()
         self.version += 1
         self._set((table, "", key), content)
-        self._announce()
+        self._notify()
         return self.version
 
     def read_value(self, table: str, key: str) -> bytes | None:
-        """Return the value of a row, ``None`` if there is none."""
+        """Return the value of a row, or ``None`` if it does not exist."""
         found = self.rows.get((table, "", key))
         return None if found is None else base64.b64decode(found[0])
 
@@ -94,13 +95,13 @@
         }
 
     def forget_history(self) -> None:
-        """Drop all history, so that feeds have to read anew."""
+        """Discard the history, so that feeds have to restart from a full read."""
         self.history_start = self.version
         self.history.clear()
-        self._announce()
+        self._notify()
 
     def apply(self, body: dict) -> tuple[int, dict]:
-        """Apply a transaction; return status and answer."""
+        """Apply a transaction; return the status and the response body."""
         conflicts = []
         for entry in body.get("expectedRev", ()):
             key = (entry["table"], entry["part"], entry["key"])
@@ -112,7 +113,7 @@
             for entry in body["expectedRev"]:
                 key = (entry["table"], entry["part"], entry["key"])
                 if key in self.rows:
-                    rows.append(self._show(key))
+                    rows.append(self._encode_row(key))
             return 412, {"rows": rows, "ver": self.version, "nowMs": 1}
         self.version += 1
         for entry in body.get("puts", ()):
@@ -120,7 +121,7 @@
             self._set(key, entry["value"])
         for entry in body.get("remove", ()):
             self._set((entry["table"], entry["part"], entry["key"]), None)
-        self._announce()
+        self._notify()
         return 200, {"ver": self.version, "nowMs": 1}
 
     def _set(self, key: tuple[str, str, str], value: str | None) -> None:
@@ -130,11 +131,11 @@
             self.rows[key] = (value, self.version)
         self.history.append((self.version, key, value))
 
-    def _announce(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def _show(self, key: tuple[str, str, str]) -> dict:
+    def _encode_row(self, key: tuple[str, str, str]) -> dict:
         value, version = self.rows[key]
         table, part, name = key
         return {
@@ -146,7 +147,7 @@
         }
 
     @web.middleware
-    async def _fail(self, request: web.Request, handler) -> web.StreamResponse:
+    async def _apply_faults(self, request: web.Request, handler) -> web.StreamResponse:
         self.calls.append(request.path)
         if self.faults.silent:
             await asyncio.sleep(3600)
@@ -159,22 +160,22 @@
         faults = self.faults
         if faults.lose_before:
             faults.lose_before -= 1
-            return self._cut(request)
+            return self._abort(request)
         if faults.late:
             faults.late -= 1
             asyncio.get_running_loop().call_later(faults.late_s, self.apply, body)
-            return self._cut(request)
+            return self._abort(request)
         status, answer = self.apply(body)
         if faults.lose:
             faults.lose -= 1
-            return self._cut(request)
+            return self._abort(request)
         return web.json_response(answer, status=status)
 
     async def _read(self, request: web.Request) -> web.StreamResponse:
         query = request.query
         start, end = query.get("from", ""), query.get("to", "\U0010ffff")
         rows = [
-            self._show(key)
+            self._encode_row(key)
             for key in sorted(self.rows)
             if key[0] == query["table"]
             and key[1] == query.get("part", "")
@@ -186,16 +187,18 @@
 
     async def _feed(self, request: web.Request) -> web.StreamResponse:
         after = int(request.query["after"])
-        until = asyncio.get_running_loop().time() + int(request.query["waitMs"]) / 1000
+        deadline_s = (
+            asyncio.get_running_loop().time() + int(request.query["waitMs"]) / 1000
+        )
         while True:
             if after < self.history_start:
                 return web.json_response({}, status=410)
             rows = [
-                self._show_change(version, key, value)
+                self._encode_change(version, key, value)
                 for version, key, value in self.history
                 if version > after and key[0] == request.query["table"]
             ]
-            left_s = until - asyncio.get_running_loop().time()
+            left_s = deadline_s - asyncio.get_running_loop().time()
             if rows or left_s <= 0:
                 return web.json_response({"rows": rows, "ver": self.version})
             changed = self._changed
@@ -204,7 +207,7 @@
             except TimeoutError:
                 continue
 
-    def _show_change(
+    def _encode_change(
         self, version: int, key: tuple[str, str, str], value: str | None
     ) -> dict:
         table, part, name = key
@@ -213,8 +216,8 @@
             return {**entry, "deleted": True}
         return {**entry, "value": value}
 
-    def _cut(self, request: web.Request) -> web.StreamResponse:
-        """Close the connection without an answer."""
+    def _abort(self, request: web.Request) -> web.StreamResponse:
+        """Close the connection without a response."""
         if request.transport is not None:
             request.transport.abort()
         return web.Response(status=500)
--- a/standins/service.py
+++ b/standins/service.py
@@ -13,10 +13,10 @@
 
 
 class ServiceRoutes:
-    """Answers any path below the root.
+    """Responds to any path.
 
-    :param name: name that is part of each answer
-    :param work_ms: time that a call takes
+    :param name: name that is part of each response
+    :param work_ms: duration of a call
     """
 
     def __init__(self, name: str, work_ms: float) -> None:
@@ -35,14 +35,14 @@
         return {"name": self._name, "calls": self._calls}
 
     async def show_ready(self, _request: web.Request) -> web.Response:
-        """Answer a readiness check, which is not recorded as a call."""
+        """Respond to a readiness check, which is not recorded as a call."""
         return web.Response(text="ready\n")
 
     async def call(self, request: web.Request) -> web.Response:
-        """Record the call, then answer with a digest of its body."""
+        """Record the call and respond with a digest of its body."""
         body = await request.read()
         current = request.app[faults.FAULTS]
-        if current.take("reject"):
+        if current.consume("reject"):
             headers = {"X-Run-State": "not-run"}
             return web.json_response({"error": "busy"}, status=503, headers=headers)
         entry = {
@@ -58,7 +58,7 @@
         }
         self._calls.append(entry)
         await asyncio.sleep(self._work_ms / 1000)
-        if request.method != "GET" and current.take("lose_answer"):
+        if request.method != "GET" and current.consume("lose_answer"):
             faults.break_connection(request)
         else:
             entry["answered"] = True
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""Command line and listening sockets that all stand-ins share."""
+"""Command line and listening sockets shared by all stand-ins."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from standins import faults, piping
 
 LISTENERS = web.AppKey("listeners", list)
-# Whether a handler is cancelled when its caller's connection breaks.
+# Whether a handler is cancelled when the client disconnects.
 CANCELS_HANDLERS = web.AppKey("cancels_handlers", bool)
 
 
 def make_parser(description: str | None) -> argparse.ArgumentParser:
-    """Return a parser with the arguments that all stand-ins have."""
+    """Return a parser with the arguments common to all stand-ins."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--listen", required=True, metavar="HOST:PORT")
     parser.add_argument("--name", default="standin")
     parser.add_argument(
         "--control",
         metavar="HOST:PORT",
-        help="second address that also answers while the fault 'down' closes the first",
+        help="second address, which stays open while the fault 'down' closes the first",
     )
     return parser
 
@@ -53,7 +53,7 @@
         self._prints_ready = prints_ready
         self._listen = split_address(listen)
         self._control = split_address(control) if control else None
-        # A short limit: connections that the fault 'silent' holds never finish.
+        # Short, since connections held by the fault 'silent' never finish.
         self._runner = web.AppRunner(
             app,
             access_log=None,
@@ -72,7 +72,7 @@
             print(f"listening {self._listen[0]}:{self._listen[1]}", flush=True)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all sockets and connections."""
         await self._runner.cleanup()
 
     async def follow_faults(self, current: faults.Faults) -> None:
@@ -124,7 +124,7 @@
     """Serve an application with control routes until a signal.
 
     :param record: function that returns the record as a JSON value
-    :param current: the switches, if the stand-in looks at them itself
+    :param current: the fault switches, if the stand-in reads them itself
     """
     server = Server(app, arguments.listen, arguments.control)
     app[faults.FAULTS] = current or faults.Faults()
@@ -139,12 +139,14 @@
     record: abc.Callable[[], typing.Any],
     listener: piping.TcpListener,
 ) -> None:
-    """Serve a stand-in that passes TCP connections on.
+    """Serve a stand-in that forwards TCP connections.
 
-    Its control routes have an address of their own, since ``--listen`` has no HTTP.
+    Its control routes need a separate address, since ``--listen`` does not serve HTTP.
     """
     if not arguments.control:
-        raise SystemExit("--control is required, since --listen passes everything on")
+        raise SystemExit(
+            "--control is required, since --listen forwards all connections"
+        )
 
     async def listen(_app: web.Application) -> typing.Any:
         await listener.open()
--- a/standins/streams.py
+++ b/standins/streams.py
@@ -1,4 +1,4 @@
-"""Server-sent events of one run, written to the connection that is attached now."""
+"""Server-sent events of a run, written to the attached connection."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Stream:
-    """The events of a run; a connection can be replaced by a new one.
+    """The events of a run; a new connection replaces the attached one.
 
     Events are numbered from 0; numbers below ``max_tokens`` are the tokens, the next
-    one is the usage, if the caller wants it.
+    one is the usage, if requested.
 
     :param wants_usage: whether an event with the usage follows the last token
     """
@@ -37,27 +37,27 @@
         return self._connection
 
     def is_expired(self, keep_s: float) -> bool:
-        """Return whether there has been no connection for the given time."""
+        """Return whether no connection was attached for the given time."""
         if self.detached_at_s is None:
             return False
         return time.monotonic() - self.detached_at_s > keep_s
 
     def attach(self, connection: Connection) -> None:
-        """Write to a connection from now on, beginning with its next event."""
+        """Attach a connection and write from its next event on."""
         if self._connection is not None:
             self._connection.abort()
         self._connection = connection
         self.detached_at_s = None
-        self.write_due()
+        self.write_pending()
 
     def detach(self, connection: Connection) -> None:
-        """Note that a connection has broken; a replaced one is ignored."""
+        """Detach a broken connection, unless it was replaced already."""
         if connection is self._connection:
             self._connection = None
             self.detached_at_s = time.monotonic()
 
-    def write_due(self) -> None:
-        """Write the events that the connection has not had yet."""
+    def write_pending(self) -> None:
+        """Write the events that the connection has not received yet."""
         connection = self._connection
         if connection is None or connection.is_ended:
             return
@@ -119,8 +119,8 @@
 class Connection:
     """One HTTP response that carries events.
 
-    Chunks go straight to the transport: one pass writes the tokens of all streams,
-    without waking a task for each of them.
+    Chunks are written directly to the transport, so that one pass writes the tokens of
+    all streams without waking a task for each.
 
     :param next_offset: number of the first event to write
     """
@@ -143,11 +143,11 @@
         return not self.is_mute and not self._transport.is_closing()
 
     def silence_after(self, tokens: int) -> None:
-        """Send a number of further events, then nothing more."""
+        """Send a number of further events, then nothing."""
         self.mute_at = self.written + tokens
 
     def count_event(self) -> None:
-        """Note that one event was written."""
+        """Count a written event."""
         self.next_offset += 1
         self.written += 1
 
@@ -183,7 +183,7 @@
 async def send_events(
     request: web.Request, stream: Stream, next_offset: int
 ) -> web.StreamResponse:
-    """Attach a request's connection to a stream and send events to its end."""
+    """Attach a request's connection to a stream and send events until it ends."""
     response = web.StreamResponse(
         headers={
             "Content-Type": "text/event-stream; charset=utf-8",
--- a/standins/tables.py
+++ b/standins/tables.py
@@ -1,4 +1,4 @@
-"""Tables with conditional transactions, rate limits and a record of every write."""
+"""Tables with conditional transactions, rate limits and a record of writes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class TokenBucket:
-    """Limits a rate; a burst of one second's worth is allowed.
+    """Rate limiter with a burst of one second's worth of tokens.
 
-    :param rate_per_s: tokens that are added each second
+    :param rate_per_s: tokens added per second
     """
 
     def __init__(self, rate_per_s: float) -> None:
@@ -24,10 +24,10 @@
         self._updated_s = time.monotonic()
 
     def take(self, count: int) -> float:
-        """Take tokens and return 0, or return the wait in seconds and take none.
+        """Take tokens and return 0, or take none and return the wait in seconds.
 
-        A count above the burst is allowed when the bucket is full, else it would be
-        refused for ever; the bucket then goes into debt.
+        A count above the burst is allowed when the bucket is full, since it could never
+        succeed otherwise; the balance of the bucket then becomes negative.
         """
         now_s = time.monotonic()
         elapsed_s = now_s - self._updated_s
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """What a row must look like; revision ``None`` means absent."""
+    """Expected revision of a row; ``None`` means absent."""
 
     table: str
     key: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Transaction:
-    """All conditions and writes of one call."""
+    """Conditions and writes that are applied atomically."""
 
     operation_id: str
     conditions: list[Condition]
@@ -69,7 +69,7 @@
 
 
 def parse_transaction(body: dict[str, typing.Any]) -> Transaction:
-    """Return the transaction in a request body.
+    """Parse a transaction from a request body.
 
     :raises KeyError, TypeError: when a field is missing or unknown
     """
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """What was done to one table."""
+    """Counts of the operations on a table."""
 
     writes: int = 0
     reads: int = 0
@@ -104,7 +104,7 @@
         self.refused_reads = 0
 
     def read(self, table: str, key: str) -> tuple[dict[str, typing.Any], int] | None:
-        """Return value and revision of a row, or ``None``."""
+        """Return the value and revision of a row, or ``None``."""
         self._counts[table].reads += 1
         row: tuple[dict[str, typing.Any], int] | None = self._rows[table].get(key)
         return row
@@ -112,7 +112,7 @@
     def scan(
         self, table: str, prefix: str, after: str, limit: int
     ) -> list[dict[str, typing.Any]]:
-        """Return rows in key order."""
+        """Return rows with a prefix in key order."""
         self._counts[table].scans += 1
         rows = self._rows[table]
         found: list[dict[str, typing.Any]] = []
@@ -175,7 +175,7 @@
         )
 
     def record(self) -> dict[str, typing.Any]:
-        """Return counts per table and the history of the recorded tables."""
+        """Return the counts per table and the history of ``HISTORY_TABLES``."""
         return {
             "revision": self._revision,
             "refused_writes": self.refused_writes,
