--- a/tools/audit.py
+++ b/tools/audit.py
@@ -1,4 +1,4 @@
-"""Counts lost and doubled work from the records of the stand-ins."""
+"""Counts lost and duplicated work from the records of the stand-ins."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Audit:
-    """What the records of the platform and the targets say.
+    """Counts from the records of the platform and the targets.
 
     :param done: items with a committed success
     :param failed: items with a committed failure
-    :param lost: accepted work without a result, or with a wrong one
+    :param lost: accepted work with a missing or wrong result
     :param doubled: work that took effect more than once
     """
 
@@ -66,7 +66,7 @@
             audit.done += 1
             body = bodies[line["custom_id"]]
             text = line["response"]["body"]["choices"][0]["message"]["content"]
-            audit.lost += text != _expected(body)
+            audit.lost += text != _expected_text(body)
     audit.lost += len(bodies.keys() - seen.keys())
     audit.doubled += sum(count - 1 for count in seen.values())
     return audit
@@ -75,10 +75,10 @@
 def audit_calls(
     records: abc.Collection[abc.Mapping[str, typing.Any]], answered: set[str]
 ) -> Audit:
-    """Compare the calls that services ran with those that callers saw answered.
+    """Compare the calls that services ran with those that succeeded for clients.
 
-    :param records: records of the plain services' stand-ins
-    :param answered: idempotency keys of the calls that were answered with success
+    :param records: records of the stand-ins for plain services
+    :param answered: idempotency keys of the calls that succeeded
     """
     audit = Audit()
     runs: collections.Counter[str] = collections.Counter(
@@ -90,12 +90,12 @@
 
 
 def _read_results(store_url: str, key: str) -> list[dict[str, typing.Any]]:
-    """Return the lines of a result object; each starts with its position and mark."""
+    """Return the lines of a result object without their prefix, a position and mark."""
     quoted = urllib.parse.quote(key, safe="")
     with urllib.request.urlopen(f"{store_url}/v1/objects/{quoted}") as response:
         data = response.read()
     return [json.loads(line[line.index(b"{") :]) for line in data.splitlines()]
 
 
-def _expected(body: abc.Mapping[str, typing.Any]) -> str:
+def _expected_text(body: abc.Mapping[str, typing.Any]) -> str:
     return completions.expected_text(body["messages"], body["max_tokens"])
--- a/tools/break_mechanisms.py
+++ b/tools/break_mechanisms.py
@@ -1,8 +1,8 @@
-"""Break each mechanism on purpose and check that its scenario fails.
+"""Mutation test: break each mechanism and check that its scenario fails.
 
-Each entry of ``tools/mechanisms.toml`` names a promise, a file, a piece of its text
-with the mechanism, the text without it, and the scenario that must fail then. The
-change is made in a copy of the tree; the tree itself stays as it is.
+Each entry of ``tools/mechanisms.toml`` names a guarantee, a file, the text that
+implements the mechanism, the text without it, and the scenario that must then fail.
+The change is made in a copy of the tree; the tree itself is not modified.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 import tomllib
 
 _ROOT = pathlib.Path(__file__).resolve().parent.parent
-_LIST = _ROOT / "tools" / "mechanisms.toml"
-_RECORD = _ROOT / "docs" / "measurements" / "broken-mechanisms.json"
+_MECHANISMS_PATH = _ROOT / "tools" / "mechanisms.toml"
+_RESULTS_PATH = _ROOT / "docs" / "measurements" / "broken-mechanisms.json"
 _COPIED = (
     "src",
     "features",
@@ -40,8 +40,8 @@
 class Mechanism:
     """A mechanism and the scenario that guards it.
 
-    :param promises: promises and failures of docs/promises.md
-    :param find: text that stands in the file once
+    :param promises: guarantees and failures listed in docs/promises.md
+    :param find: text that occurs exactly once in the file
     :param scenario: part of the scenario's name, as ``behave -n`` takes it
     """
 
@@ -55,32 +55,34 @@
 
 
 def main() -> int:
-    """Break the mechanisms one by one; 0 when each was noticed."""
+    """Break the mechanisms one by one; return 0 if every change was noticed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*", help="mechanisms, all by default")
-    parser.add_argument("--record", action="store_true", help=f"write {_RECORD.name}")
+    parser.add_argument(
+        "--record", action="store_true", help=f"write {_RESULTS_PATH.name}"
+    )
     arguments = parser.parse_args()
-    entries = tomllib.loads(_LIST.read_text())["mechanisms"]
-    chosen = [Mechanism(**entry) for entry in entries]
+    entries = tomllib.loads(_MECHANISMS_PATH.read_text())["mechanisms"]
+    mechanisms = [Mechanism(**entry) for entry in entries]
     if arguments.names:
-        chosen = [item for item in chosen if item.name in arguments.names]
+        mechanisms = [item for item in mechanisms if item.name in arguments.names]
     rows = []
-    for mechanism in chosen:
+    for mechanism in mechanisms:
         row = _check(mechanism)
         rows.append(row)
         print(f"{row['verdict']:>10}  {mechanism.name}: {row['seen']}", flush=True)
     noticed = sum(row["verdict"] == "noticed" for row in rows)
     print(f"{noticed} of {len(rows)} broken mechanisms were noticed")
     if arguments.record:
-        _record(rows)
+        _write_results(rows)
     return 0 if rows and noticed == len(rows) else 1
 
 
-def _record(rows: list[dict[str, str]]) -> None:
-    """Replace the rows of the mechanisms that were run, and keep the others."""
-    known = {row["name"]: row for row in json.loads(_RECORD.read_text())}
-    known.update({row["name"]: row for row in rows})
-    _RECORD.write_text(json.dumps(list(known.values()), indent=1) + "\n")
+def _write_results(rows: list[dict[str, str]]) -> None:
+    """Replace the rows of the mechanisms that were run and keep the others."""
+    results = {row["name"]: row for row in json.loads(_RESULTS_PATH.read_text())}
+    results.update({row["name"]: row for row in rows})
+    _RESULTS_PATH.write_text(json.dumps(list(results.values()), indent=1) + "\n")
 
 
 def _check(mechanism: Mechanism) -> dict[str, str]:
@@ -88,14 +90,14 @@
     with tempfile.TemporaryDirectory(prefix="endivevane-broken-") as folder:
         copy = pathlib.Path(folder)
         _copy_tree(copy)
-        whole_passed, whole_output = _run_scenario(copy, mechanism)
-        if not whole_passed:
-            return _describe(mechanism, "fails whole", _find_failure(whole_output))
+        baseline_passed, baseline_output = _run_scenario(copy, mechanism)
+        if not baseline_passed:
+            return _describe(mechanism, "fails whole", _find_failure(baseline_output))
         path = copy / mechanism.file
         text = path.read_text()
         if text.count(mechanism.find) != 1:
             count = text.count(mechanism.find)
-            return _describe(mechanism, "outdated", f"the text stands {count} times")
+            return _describe(mechanism, "outdated", f"the text occurs {count} times")
         path.write_text(text.replace(mechanism.find, mechanism.replace))
         passed, output = _run_scenario(copy, mechanism)
     verdict = "unnoticed" if passed else "noticed"
@@ -150,11 +152,11 @@
 
 
 def _find_failure(output: str) -> str:
-    """Return the first lines that tell why a scenario failed."""
+    """Return the first lines that state why a scenario failed."""
     lines = output.splitlines()
-    marks = ("Assertion Failed", "ASSERT FAILED", "Error:", "Falsifying")
+    patterns = ("Assertion Failed", "ASSERT FAILED", "Error:", "Falsifying")
     for number, line in enumerate(lines):
-        if any(mark in line for mark in marks):
+        if any(pattern in line for pattern in patterns):
             text = " ".join(" ".join(lines[number : number + 2]).split())
             return text.split(" Captured")[0][:200]
     return "the scenario passed" if "0 failed" in output else "no message"
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,6 +1,6 @@
-"""Shows online requests and a batch job through the death of a daemon and an engine.
+"""Serve online requests and a batch job while a daemon and an engine are killed.
 
-The last line is one JSON object with the counts.
+The last line of the output is a JSON object with the counts.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 _ITEM_TOKENS = 8
 _ANSWER_TOKENS = 24
 _RATE_PER_S = 20.0
-_ALONE_S = 8.0
-_KILL_DAEMON_S = 2.0
-_KILL_ENGINE_S = 4.0
+_BASELINE_S = 8.0
+_DAEMON_KILL_S = 2.0
+_ENGINE_KILL_S = 4.0
 _JOB_LIMIT_S = 30.0
-_RESENDS = 2
+_MAX_RESENDS = 2
 _POLL_S = 0.25
 
 
 @dataclasses.dataclass(slots=True)
 class CallResult:
-    """What a caller saw of one online request.
+    """Outcome of one online request, as the client saw it.
 
-    :param first_token_ms: from the scheduled arrival, over all sends
-    :param sends: how often the caller sent it
+    :param first_token_ms: latency from the scheduled arrival, including resends
+    :param sends: number of times the client sent it
     :param outcome: ``ok``, ``refused`` or ``failed``
     """
 
@@ -50,10 +50,10 @@
     is_wrong: bool = False
 
 
-class Load:
+class LoadGenerator:
     """Sends online requests at a fixed rate until stopped.
 
-    :param url: base URL of the entry
+    :param url: base URL of the entry point
     """
 
     def __init__(self, url: str, key: str) -> None:
@@ -62,7 +62,7 @@
         self.failed_orders = 0
         self._url = url
         self._key = key
-        # The caller of this program decides about sending again, so that it is counted.
+        # Resends are made here, not in the client library, so that they are counted.
         self._client = openai.OpenAI(base_url=f"{url}/v1", api_key=key, max_retries=0)
         self._executor = concurrent.futures.ThreadPoolExecutor(96)
         self._stop = threading.Event()
@@ -70,11 +70,11 @@
         self._number = 0
 
     def start(self) -> None:
-        """Start to send."""
+        """Start sending."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop sending and wait for the answers."""
+        """Stop sending and wait for the responses."""
         self._stop.set()
         self._thread.join()
         self._executor.shutdown(wait=True)
@@ -95,7 +95,7 @@
         self.results.append(result)
         prompt = [{"role": "user", "content": f"question {number}"}]
         expected = completions.expected_text(prompt, _ANSWER_TOKENS)
-        while result.sends <= _RESENDS:
+        while result.sends <= _MAX_RESENDS:
             result.sends += 1
             try:
                 text = self._send(prompt, number % 4 != 0, due_s, result)
@@ -139,7 +139,7 @@
         request = urllib.request.Request(
             f"{self._url}/services/desk/orders", b'{"size": 3}', headers, method="POST"
         )
-        for _ in range(_RESENDS + 1):
+        for _ in range(_MAX_RESENDS + 1):
             try:
                 with urllib.request.urlopen(request, timeout=10) as response:
                     response.read()
@@ -151,7 +151,7 @@
 
 
 def main() -> int:
-    """Run the demo and return 1 where anything was lost or doubled."""
+    """Run the demo and return 1 if anything was lost or duplicated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--keep", default="0", help="1 leaves the fleet running")
     arguments = parser.parse_args()
@@ -167,7 +167,9 @@
     )
     started_s = time.monotonic()
     with fleet.Fleet(plan) as running:
-        _say(f"{plan.daemons} daemons, {plan.engines} engines: ready", started_s)
+        _print_progress(
+            f"{plan.daemons} daemons, {plan.engines} engines: ready", started_s
+        )
         summary = _run(running, started_s)
         _print_table(summary)
         if arguments.keep == "1":
@@ -180,33 +182,35 @@
 
 def _run(running: fleet.Fleet, started_s: float) -> dict[str, float]:
     entry = running.balancer.url if running.balancer else running.daemons[0].url
-    load = Load(entry, running.caller_key())
+    load = LoadGenerator(entry, running.caller_key())
     load.start()
-    time.sleep(_ALONE_S)
-    alone = [item.first_token_ms for item in list(load.results) if item.first_token_ms]
-    count_alone = len(load.results)
-    _say("online requests alone: done", started_s)
+    time.sleep(_BASELINE_S)
+    baseline = [
+        item.first_token_ms for item in list(load.results) if item.first_token_ms
+    ]
+    baseline_count = len(load.results)
+    _print_progress("online requests alone: done", started_s)
     bodies = jobs.make_bodies(_MODEL, _ITEMS, _ITEM_TOKENS, "summarise record")
     job_id = jobs.submit(running, bodies)
-    _say(f"batch job {job_id} of {len(bodies)} items: accepted", started_s)
+    _print_progress(f"batch job {job_id} of {len(bodies)} items: accepted", started_s)
     job_started_s = time.monotonic()
-    time.sleep(_KILL_DAEMON_S)
+    time.sleep(_DAEMON_KILL_S)
     running.daemons[-1].kill()
-    _say(f"{running.daemons[-1].name}: killed", started_s)
-    time.sleep(_KILL_ENGINE_S - _KILL_DAEMON_S)
+    _print_progress(f"{running.daemons[-1].name}: killed", started_s)
+    time.sleep(_ENGINE_KILL_S - _DAEMON_KILL_S)
     running.engines[-1].kill()
-    _say(f"{running.engines[-1].name}: killed", started_s)
+    _print_progress(f"{running.engines[-1].name}: killed", started_s)
     status = _await_job(running, job_id, job_started_s)
-    _say(f"batch job: {status}", started_s)
+    _print_progress(f"batch job: {status}", started_s)
     load.stop()
-    mixed = [item.first_token_ms for item in load.results[count_alone:]]
+    disturbed = [item.first_token_ms for item in load.results[baseline_count:]]
     total = audit.audit_job(running.store.record(), running.store.url, job_id, bodies)
     services = [item.record() for item in running.services]
     orders = audit.audit_calls(services, load.answered_orders)
     outcomes = [item.outcome for item in load.results]
     wrong = sum(item.is_wrong for item in load.results)
-    _say(f"calls sent again by callers: {_count_resends(load)}", started_s)
-    _say(f"orders answered: {len(load.answered_orders)}", started_s)
+    _print_progress(f"calls sent again by callers: {_count_resends(load)}", started_s)
+    _print_progress(f"orders answered: {len(load.answered_orders)}", started_s)
     return {
         "online_ok": outcomes.count("ok"),
         "online_failed": outcomes.count("failed") + load.failed_orders,
@@ -216,8 +220,8 @@
         "batch_failed": total.failed,
         "doubled": total.doubled + orders.doubled,
         "lost": total.lost + orders.lost + wrong,
-        "first_token_p95_ms": _p95([value for value in mixed if value]),
-        "first_token_p95_alone_ms": _p95(alone),
+        "first_token_p95_ms": _p95([value for value in disturbed if value]),
+        "first_token_p95_alone_ms": _p95(baseline),
         "seconds": round(time.monotonic() - started_s, 1),
     }
 
@@ -230,7 +234,7 @@
     return status
 
 
-def _count_resends(load: Load) -> int:
+def _count_resends(load: LoadGenerator) -> int:
     return sum(item.sends - 1 for item in load.results)
 
 
@@ -238,7 +242,7 @@
     return round(float(numpy.percentile(values, 95)), 1) if values else 0.0
 
 
-def _say(text: str, started_s: float) -> None:
+def _print_progress(text: str, started_s: float) -> None:
     print(f"{time.monotonic() - started_s:6.1f} s  {text}", flush=True)
 
 
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a whole fleet: platform, engines, plain services, daemons, balancer."""
+"""Starts a complete fleet: platform, engines, plain services, daemons, balancer."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         return f"http://{self.address}"
 
     def kill(self) -> None:
-        """End the process at once with SIGKILL."""
+        """Kill the process with SIGKILL."""
         self.process.kill()
 
     def pause(self) -> None:
@@ -48,18 +48,18 @@
         self.process.pause()
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         self.process.resume()
 
     def terminate(self) -> None:
-        """Ask the process to end with SIGTERM; returns at once."""
+        """Send SIGTERM to the process without waiting for it to exit."""
         self.process.terminate()
 
 
 class StandIn(Member):
-    """A stand-in, with its faults and its record.
+    """A stand-in with control routes for its faults and its record.
 
-    :param control: ``host:port`` that also answers while the stand-in is down
+    :param control: ``host:port`` that stays open while the stand-in is down
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self.post_control("/_control/faults", faults)
 
     def record(self) -> dict[str, typing.Any]:
-        """Return the stand-in's record of what took effect."""
+        """Return the stand-in's record of the operations that took effect."""
         with urllib.request.urlopen(f"http://{self.control}/_record") as response:
             record: dict[str, typing.Any] = json.load(response)
         return record
@@ -94,7 +94,7 @@
             response.read()
 
     def restart(self) -> None:
-        """Start the process again on the same addresses, with an empty record."""
+        """Restart the process on the same addresses, with an empty record."""
         self.process.end()
         self.process.start()
         self.process.wait_for_url(f"http://{self.control}/_record")
@@ -115,11 +115,11 @@
         self.settings_path = settings_path
 
     def wait_ready(self, timeout_s: float = 30.0) -> None:
-        """Wait until ``/readyz`` answers 200."""
+        """Wait until ``/readyz`` returns 200."""
         self.process.wait_for_url(f"{self.url}/readyz", timeout_s)
 
     def restart(self, timeout_s: float = 30.0) -> None:
-        """Start the daemon again on the same addresses and wait until it is ready."""
+        """Restart the daemon on the same addresses and wait until it is ready."""
         self.process.end()
         self.process.start()
         self.wait_ready(timeout_s)
@@ -167,12 +167,12 @@
             raise
 
     def close(self) -> None:
-        """End all processes and give the ports back."""
+        """Stop all processes and release the ports."""
         self._processes.close()
         self._ports.release()
 
     def caller_key(self, organisation: str | None = None) -> str:
-        """Return an API key; that of the first organisation by default."""
+        """Return an API key of an organisation, the first one by default."""
         return fleet_plan.caller_key(organisation or self.plan.organisations[0])
 
     def start_stand_ins(self) -> None:
@@ -210,7 +210,7 @@
     def publish(self, wait_s: float = 0.0) -> bool:
         """Publish the files in :attr:`documents`.
 
-        :param wait_s: how long to wait for the zones to confirm
+        :param wait_s: time to wait for the zones to confirm
         :returns: whether all zones have confirmed
         """
         run = self.run_ctl("publish", str(self.documents), "--wait-s", str(wait_s))
@@ -241,34 +241,38 @@
         """Start the daemons and the balancer; wait until all daemons are ready."""
         plan = self.plan
         keys = fleet_plan.make_key_sections(plan)
-        listens = [self._ports.reserve_address() for _ in range(plan.daemons)]
-        clusters = [self._ports.reserve_address() for _ in range(plan.daemons)]
+        listen_addresses = [self._ports.reserve_address() for _ in range(plan.daemons)]
+        cluster_addresses = [self._ports.reserve_address() for _ in range(plan.daemons)]
         if plan.has_store_links:
             for index in range(plan.daemons):
                 name = f"store-link-{index}"
                 self.store_links.append(self.start_link(name, self.store.address))
         if plan.has_region_link:
-            self._start_region_link(clusters)
+            self._start_region_link(cluster_addresses)
         for index in range(plan.daemons):
             addresses = {
-                "listen": listens[index],
-                "cluster_listen": clusters[index],
+                "listen": listen_addresses[index],
+                "cluster_listen": cluster_addresses[index],
                 "platform": self._find_store_address(index),
-                "seeds": [item for item in clusters if item != clusters[index]],
+                "seeds": [
+                    item
+                    for item in cluster_addresses
+                    if item != cluster_addresses[index]
+                ],
                 "keys": keys[index],
             }
             settings = fleet_plan.make_settings(plan, index, addresses)
             path = self.folder / f"daemon-{index}.toml"
             path.write_text(toml_text.render(settings))
-        self._list_vms(listens)
+        self._publish_vms(listen_addresses)
         for index in range(plan.daemons):
-            self.daemons.append(self._start_daemon(index, listens[index]))
+            self.daemons.append(self._start_daemon(index, listen_addresses[index]))
         for daemon in self.daemons:
             daemon.wait_ready(plan.ready_timeout_s)
         if plan.confirm_s and not self.publish(plan.confirm_s):
-            raise RuntimeError("some zone did not confirm the configuration")
+            raise RuntimeError("a zone did not confirm the configuration")
         if plan.has_balancer:
-            self.start_balancer(listens)
+            self.start_balancer(listen_addresses)
 
     def start_balancer(self, addresses: typing.Iterable[str]) -> None:
         """Start a balancer in front of some addresses."""
@@ -279,18 +283,18 @@
     def start_link(
         self, name: str, target: str, arguments: typing.Iterable[str] = ()
     ) -> StandIn:
-        """Start a link to an address; calls go to the link's address instead.
+        """Start a link that forwards connections to an address.
 
-        :param arguments: further arguments of ``standins.link``
+        :param arguments: additional arguments of ``standins.link``
         """
         link = self._start_stand_in("link", name, "", ("--to", target, *arguments))
         link.process.wait_for_line("listening")
         return link
 
     def set_vms(self, states: dict[str, str] | None = None) -> None:
-        """Publish the list of VMs, which takes effect after the platform's lag.
+        """Publish the list of VMs, which becomes visible after the platform's lag.
 
-        :param states: states by name that differ from ``live``
+        :param states: states by VM name, for those that are not ``live``
         """
         members: list[Member] = [*self.daemons, *self.engines, *self.services]
         vms = [
@@ -303,10 +307,10 @@
         member = self.store_links[index] if self.store_links else self.store
         return member.address
 
-    def _list_vms(self, listens: list[str]) -> None:
+    def _publish_vms(self, listen_addresses: list[str]) -> None:
         vms = [
             _make_vm(f"daemon-{index}", listen, self.plan.zone_of(index).name)
-            for index, listen in enumerate(listens)
+            for index, listen in enumerate(listen_addresses)
         ]
         vms += [
             _make_vm(item.name, item.address, item.zone)
@@ -314,19 +318,19 @@
         ]
         self.store.post_control("/_control/vms", {"vms": vms, "at_once": True})
 
-    def _start_region_link(self, clusters: list[str]) -> None:
-        """Start the link that everything between the regions passes."""
+    def _start_region_link(self, cluster_addresses: list[str]) -> None:
+        """Start the link that carries all traffic between the regions."""
         plan = self.plan
         regions_by_zone = {zone.name: zone.region for zone in plan.zones}
         addresses = {"store": self.store.address}
-        places = {"store": plan.zones[0].region}
+        regions_by_name = {"store": plan.zones[0].region}
         for item in (*self.engines, *self.services):
             addresses[item.name] = item.address
-            places[item.name] = regions_by_zone[item.zone]
-        for index, address in enumerate(clusters):
+            regions_by_name[item.name] = regions_by_zone[item.zone]
+        for index, address in enumerate(cluster_addresses):
             addresses[f"daemon-{index}"] = address
-            places[f"daemon-{index}"] = plan.zone_of(index).region
-        self._routes = regions.Routes(plan, self._ports, places, addresses)
+            regions_by_name[f"daemon-{index}"] = plan.zone_of(index).region
+        self._routes = regions.Routes(plan, self._ports, regions_by_name, addresses)
         link = self._start_stand_in(
             "region_link", "region-link", "", self._routes.arguments
         )
--- a/tools/fleet_plan.py
+++ b/tools/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a fleet consists of, and the files that follow from it."""
+"""Plan of a fleet, and the documents and settings files generated from it."""
 
 from __future__ import annotations
 
@@ -35,29 +35,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What to start; daemons, engines and services are spread over the zones in turn.
-
-    :param model: model that every engine has loaded
-    :param slots: requests that an engine runs together
-    :param engine_arguments: further arguments of ``standins.engine``
-    :param loads_weights: whether engines read the weights of a model that they are told
-        to load from the weight store
-    :param platform_arguments: further arguments of ``standins.platform``
-    :param service_arguments: further arguments of ``standins.service``
+    """Plan of a fleet; its members are assigned to the zones round robin.
+
+    :param model: model that every engine loads at start
+    :param slots: number of concurrent requests per engine
+    :param engine_arguments: additional arguments of ``standins.engine``
+    :param loads_weights: whether engines download the weights from the weight store
+        when they are ordered to load a model
+    :param platform_arguments: additional arguments of ``standins.platform``
+    :param service_arguments: additional arguments of ``standins.service``
     :param fleet_document: changes to the document of the fleet
     :param model_service: changes to the document of the model service
     :param plain_service: changes to the document of the plain service
     :param daemon_settings: changes to the settings file of every daemon
     :param has_balancer: whether a balancer is started in front of the daemons
-    :param has_store_links: whether each daemon reaches the platform over a link of its
-        own, which can be cut, slowed or silenced
-    :param has_region_link: whether all connections between the two regions pass one
-        link with latency and a shared rate, which can be cut or silenced; the store is
-        in the region of the first zone
-    :param has_own_keys: whether each daemon has a CURVE pair of its own, listed by its
-        name, instead of one pair for all
-    :param confirm_s: after the daemons are ready, how long to wait for the zones to
-        confirm the configuration; 0 does not wait
+    :param has_store_links: whether each daemon reaches the platform over its own link,
+        which can be cut, slowed or blocked
+    :param has_region_link: whether all connections between the two regions share a link
+        with latency and a rate limit, which can be cut or blocked; the store is in the
+        region of the first zone
+    :param has_own_keys: whether each daemon has its own CURVE key pair, listed by its
+        name, instead of a shared one
+    :param confirm_s: time to wait for the zones to confirm the configuration after the
+        daemons are ready; 0 does not wait
     """
 
     daemons: int = 2
@@ -94,7 +94,7 @@
 
     def __post_init__(self) -> None:
         if self.confirm_s and self.daemons < len(self.zones):
-            raise ValueError("a zone without a daemon can't confirm; use fewer zones")
+            raise ValueError("a zone without a daemon cannot confirm; use fewer zones")
 
     def zone_of(self, index: int) -> Zone:
         """Return the zone of a daemon, engine or service by its index."""
@@ -103,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedTarget:
-    """Name and place of a target."""
+    """Name, address and availability zone of a target."""
 
     name: str
     address: str
@@ -111,7 +111,7 @@
 
 
 def caller_key(organisation: str) -> str:
-    """Return the API key of an organisation's callers."""
+    """Return the API key of an organisation with the role ``caller``."""
     return f"key-of-{organisation}"
 
 
@@ -244,7 +244,7 @@
 
 
 def make_pair() -> tuple[str, str]:
-    """Return a public and a secret CURVE key."""
+    """Return a CURVE key pair, the public key first."""
     public, secret = zmq.curve_keypair()
     return public.decode(), secret.decode()
 
--- a/tools/jobs.py
+++ b/tools/jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs through the operators' command, for the demo and the measurements."""
+"""Submits batch jobs with ``endivevanectl``, for the demo and the measurements."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 def make_bodies(model: str, count: int, max_tokens: int, text: str) -> dict[str, Body]:
     """Return request bodies by ``custom_id``.
 
-    :param text: start of each prompt; prompts of different jobs must differ where
-        cached prefixes would shorten the later one
+    :param text: start of each prompt; use different texts for different jobs, unless
+        the later ones may be faster through cached prefixes
     """
     return {
         f"item-{number}": {
@@ -50,7 +50,7 @@
 
 
 def read_status(running: fleet.Fleet, job_id: str) -> str | None:
-    """Return the status of a job, ``None`` when no daemon could tell."""
+    """Return the status of a job, or ``None`` if it is not available."""
     run = running.run_ctl("--output", "json", "jobs", "show", job_id)
     if run.returncode:
         return None
--- a/tools/kill_rounds.py
+++ b/tools/kill_rounds.py
@@ -1,8 +1,8 @@
-"""Rounds of a batch job in which daemons, engines and answers of the store are lost.
+"""Run batch jobs while daemons and engines are killed and store responses are lost.
 
-Every round submits a job, kills and restarts a random daemon or engine every second or
-two, makes the store lose answers now and then, and counts lost and doubled items from
-the store's record. Exit status 1 where anything was lost, doubled or failed.
+Each round submits a job, kills and restarts a random daemon or engine every second or
+two, occasionally makes the store lose responses, and counts lost and duplicated items
+from the store's record. The exit status is 1 if an item was lost, duplicated or failed.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 _MODEL = "small-lm"
 _ITEM_TOKENS = 2
-_ROUND_LIMIT_S = 180.0
-_PAUSE_S = (0.8, 2.0)
+_ROUND_TIMEOUT_S = 180.0
+_FAULT_INTERVAL_S = (0.8, 2.0)
 _LOST_ANSWERS = 2
-_LOST_ANSWER_SHARE = 0.3
+_LOST_ANSWER_PROBABILITY = 0.3
 
 
 def main() -> int:
-    """Run the rounds and print one line for each and a JSON summary."""
+    """Run the rounds; print a line for each and a JSON summary."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=20)
     parser.add_argument("--items", type=int, default=20_000)
@@ -43,14 +43,14 @@
                 _MODEL, arguments.items, _ITEM_TOKENS, f"round {number} item"
             )
             job_id = jobs.submit(running, bodies)
-            status, round_kills = _disturb(running, job_id, generator)
-            found = audit.audit_job(
+            status, round_kills = _inject_faults(running, job_id, generator)
+            counts = audit.audit_job(
                 running.store.record(), running.store.url, job_id, bodies
             )
         unfinished += status != "completed"
         kills += round_kills
-        total.add(found)
-        print(f"round {number}: {status}, {round_kills} kills, {found}", flush=True)
+        total.add(counts)
+        print(f"round {number}: {status}, {round_kills} kills, {counts}", flush=True)
     summary = {
         "rounds": arguments.rounds,
         "unfinished": unfinished,
@@ -61,27 +61,27 @@
         "doubled": total.doubled,
     }
     print(json.dumps(summary))
-    # Every item can be done, so a failed one is a loss too.
+    # Every item can succeed, so failed items count as errors too.
     return 1 if total.lost or total.doubled or total.failed or unfinished else 0
 
 
-def _disturb(
+def _inject_faults(
     running: fleet.Fleet, job_id: str, generator: random.Random
 ) -> tuple[str, int]:
-    """Kill and restart members until the job has ended; return its status and kills."""
-    until_s = time.monotonic() + _ROUND_LIMIT_S
+    """Kill and restart members until the job ends; return its status and the kills."""
+    deadline_s = time.monotonic() + _ROUND_TIMEOUT_S
     kills = 0
     status = "in_progress"
-    while status == "in_progress" and time.monotonic() < until_s:
-        time.sleep(generator.uniform(*_PAUSE_S))
+    while status == "in_progress" and time.monotonic() < deadline_s:
+        time.sleep(generator.uniform(*_FAULT_INTERVAL_S))
         members = [*running.daemons, *running.engines]
-        victim = generator.choice(members)
-        if generator.random() < _LOST_ANSWER_SHARE:
+        member = generator.choice(members)
+        if generator.random() < _LOST_ANSWER_PROBABILITY:
             running.store.set_faults(lose_answer=_LOST_ANSWERS)
-        victim.kill()
+        member.kill()
         kills += 1
-        time.sleep(generator.uniform(*_PAUSE_S))
-        victim.restart()
+        time.sleep(generator.uniform(*_FAULT_INTERVAL_S))
+        member.restart()
         status = jobs.read_status(running, job_id) or status
     return status, kills
 
--- a/tools/model_check.py
+++ b/tools/model_check.py
@@ -1,7 +1,7 @@
 """Check the Promela models in ``spec/`` with spin.
 
-A model whose file name ends in ``_broken`` leaves out a protection on purpose; the
-checker must find an error in it.
+A model whose file name ends in ``_broken`` deliberately omits a safeguard; spin must
+find an error in it.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
     for model in sorted((_ROOT / "spec").glob("*.pml")):
         errors, states = _check(model)
         expected_errors = model.stem.endswith("_broken")
-        is_good = (errors > 0) == expected_errors
-        failures += not is_good
-        verdict = "as expected" if is_good else "NOT as expected"
+        is_expected = (errors > 0) == expected_errors
+        failures += not is_expected
+        verdict = "as expected" if is_expected else "NOT as expected"
         print(f"model {model.name}: errors={errors} states={states} {verdict}")
     return 1 if failures else 0
 
 
 def _check(model: pathlib.Path) -> tuple[int, int]:
-    """Return the number of errors and of states that spin found."""
+    """Return the numbers of errors and of states that spin found."""
     with tempfile.TemporaryDirectory() as folder:
         _run(["spin", "-a", str(model)], folder)
         _run(["cc", "-O2", "-DSAFETY", "-o", "pan", "pan.c"], folder)
@@ -38,7 +38,9 @@
     errors = re.search(r"errors: (\d+)", output)
     states = re.search(r"(\d+) states, stored", output)
     if errors is None or states is None or "max search depth too small" in output:
-        raise RuntimeError(f"spin did not finish on {model.name}:\n{output}")
+        raise RuntimeError(
+            f"spin did not complete the check of {model.name}:\n{output}"
+        )
     return int(errors.group(1)), int(states.group(1))
 
 
--- a/tools/ports.py
+++ b/tools/ports.py
@@ -9,7 +9,7 @@
 import tempfile
 import typing
 
-# The ephemeral range of Linux starts at 32768; ports from it would collide with
+# The ephemeral range of Linux starts at 32768; ports from it could collide with
 # outgoing connections.
 _FIRST_PORT = 15_000
 _LAST_PORT = 30_000
@@ -18,7 +18,7 @@
 
 
 class Ports:
-    """Reserved ports; a lock file per port excludes other processes on this machine."""
+    """Reserves ports across processes of this machine, with a lock file per port."""
 
     def __init__(self) -> None:
         self._folder = pathlib.Path(tempfile.gettempdir()) / "endivevane-ports"
@@ -42,7 +42,7 @@
         return f"{_HOST}:{self.reserve()}"
 
     def release(self) -> None:
-        """Give all ports back."""
+        """Release all ports."""
         for lock in self._locks.values():
             lock.close()
         self._locks.clear()
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Starts Python modules as processes and always ends them."""
+"""Starts Python modules as processes and makes sure that they are stopped."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class NotReady(Exception):
-    """A process did not become ready in time, or ended before it was ready."""
+    """Raised when a process exits early or does not become ready in time."""
 
 
 class Process:
-    """A Python module that runs as a process of its own.
+    """A Python module that runs as a separate process.
 
     :param module: for example ``standins.engine``
-    :param arguments: command line of the module
+    :param arguments: command-line arguments of the module
     :param log_path: file for standard output and standard error
     """
 
@@ -40,12 +40,12 @@
         self.arguments = list(arguments)
         self.log_path = log_path
         self._popen: subprocess.Popen[bytes] | None = None
-        self._is_stopped = False
+        self._is_paused = False
         self._log_start = 0
 
     @property
     def pid(self) -> int:
-        """Process id of the current or last run."""
+        """Process ID of the current or last run."""
         if self._popen is None:
             raise NotReady(f"{self.module} was never started")
         return self._popen.pid
@@ -57,12 +57,12 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process runs, paused or not."""
+        """Whether the process is running or paused."""
         return self._popen is not None and self._popen.poll() is None
 
     def start(self) -> None:
-        """Start the process; the log is appended to."""
-        # The source of this tree goes before an installed copy of another tree.
+        """Start the process and append to its log."""
+        # This tree takes precedence over an installed copy of another tree.
         path = os.pathsep.join((str(_ROOT / "src"), str(_ROOT)))
         environment = {**os.environ, "PYTHONUNBUFFERED": "1", "PYTHONPATH": path}
         with self.log_path.open("ab") as log:
@@ -75,12 +75,12 @@
                 cwd=_ROOT,
                 env=environment,
             )
-        self._is_stopped = False
+        self._is_paused = False
 
     def wait_for_line(self, text: str, timeout_s: float = 10.0) -> None:
-        """Wait until the log of this run has a line that begins with the text.
+        """Wait until the log of this run has a line that starts with a text.
 
-        :raises NotReady: when it does not come in time
+        :raises NotReady: when the process exits or the line is not written in time
         """
 
         def has_line() -> bool:
@@ -91,27 +91,27 @@
         self._wait(has_line, f"no line {text!r}", timeout_s)
 
     def wait_for_url(self, url: str, timeout_s: float = 15.0) -> None:
-        """Wait until a URL answers with status 200.
+        """Wait until a URL returns status 200.
 
-        :raises NotReady: when it does not in time
+        :raises NotReady: when the process exits or the URL does not do so in time
         """
         self._wait(lambda: answers_ok(url), f"{url} not ready", timeout_s)
 
     def kill(self) -> None:
-        """End the process at once with SIGKILL."""
+        """Kill the process with SIGKILL."""
         if self._popen is not None:
             self._popen.kill()
             self._popen.wait()
 
     def terminate(self) -> None:
-        """Ask the process to end with SIGTERM and return at once."""
+        """Send SIGTERM to the process without waiting for it to exit."""
         if self._popen is not None:
             self._popen.terminate()
 
     def wait(self, timeout_s: float) -> int:
-        """Wait for the end of the process and return its status.
+        """Wait for the process to exit and return its status.
 
-        :raises subprocess.TimeoutExpired: when it runs longer
+        :raises subprocess.TimeoutExpired: when it does not exit in time
         """
         if self._popen is None:
             raise NotReady(f"{self.module} was never started")
@@ -120,18 +120,18 @@
     def pause(self) -> None:
         """Pause the process with SIGSTOP."""
         os.kill(self.pid, signal.SIGSTOP)
-        self._is_stopped = True
+        self._is_paused = True
 
     def resume(self) -> None:
-        """Let a paused process go on with SIGCONT."""
+        """Resume a paused process with SIGCONT."""
         os.kill(self.pid, signal.SIGCONT)
-        self._is_stopped = False
+        self._is_paused = False
 
     def end(self) -> None:
-        """End the process, gently first."""
+        """Stop the process with SIGTERM, and with SIGKILL after a timeout."""
         if self._popen is None or self._popen.poll() is not None:
             return
-        if self._is_stopped:
+        if self._is_paused:
             self.resume()
         self._popen.terminate()
         try:
@@ -158,11 +158,11 @@
             time.sleep(_POLL_S)
         else:
             return
-        raise NotReady(f"{self.module}: {problem}; its log ends:\n{self.read_log()}")
+        raise NotReady(f"{self.module}: {problem}; end of its log:\n{self.read_log()}")
 
 
 class Processes:
-    """All processes of a test, demo or measurement; ends them on :meth:`close`.
+    """All processes of a test, demo or measurement; :meth:`close` stops them.
 
     :param folder: for logs and files; a temporary folder when ``None``
     """
@@ -174,7 +174,7 @@
             folder = pathlib.Path(self._temporary.name)
         self.folder = folder
         self._processes: list[Process] = []
-        # Covers a test run that is interrupted before its own clean-up.
+        # Stops the processes of a run that is interrupted before its own clean-up.
         atexit.register(self.close)
 
     def __enter__(self) -> typing.Self:
@@ -191,11 +191,11 @@
         return process
 
     def close(self) -> None:
-        """End all processes, the last one started first, and remove the folder."""
+        """Stop all processes in reverse order of their start, and remove the folder."""
         atexit.unregister(self.close)
         running = [item for item in reversed(self._processes) if item.is_running]
         for process in running:
-            if process._is_stopped:
+            if process._is_paused:
                 process.resume()
             process.terminate()
         for process in running:
@@ -206,7 +206,7 @@
 
 
 def answers_ok(url: str, timeout_s: float = 1.0) -> bool:
-    """Return whether a URL answers with status 200."""
+    """Return whether a URL returns status 200."""
     try:
         with urllib.request.urlopen(url, timeout=timeout_s) as response:
             return bool(response.status == 200)
--- a/tools/regions.py
+++ b/tools/regions.py
@@ -1,4 +1,4 @@
-"""The link between the two regions of a fleet, and the switches for it."""
+"""The link between the two regions of a fleet, and the switch for it."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class Routes:
-    """Routes of every daemon to the addresses of the other region.
+    """Routes from each daemon to the addresses in the other region.
 
-    :param places: region by name of each daemon and target, the store included
+    :param regions_by_name: region of each daemon and target, and of the store, by name
     :param addresses: addresses by name
     """
 
@@ -27,7 +27,7 @@
         self,
         plan: fleet_plan.FleetPlan,
         reserved: ports.Ports,
-        places: abc.Mapping[str, str],
+        regions_by_name: abc.Mapping[str, str],
         addresses: abc.Mapping[str, str],
     ) -> None:
         self.arguments: list[str] = ["--latency-ms", str(LATENCY_MS)]
@@ -38,42 +38,42 @@
             caller = f"daemon-{index}"
             table = self._tables.setdefault(caller, {})
             for name, address in addresses.items():
-                if places[name] == places[caller]:
+                if regions_by_name[name] == regions_by_name[caller]:
                     continue
-                side = "outward" if places[caller] == first else "inward"
+                side = "outward" if regions_by_name[caller] == first else "inward"
                 listen = reserved.reserve_address()
                 table[address] = listen
                 route = f"{caller}>{name},{listen},{address},{side}"
                 self.arguments += ["--route", route]
 
     def write_table(self, caller: str, folder: pathlib.Path) -> pathlib.Path:
-        """Write the table of a daemon, see :mod:`tools.routed`."""
+        """Write the routing table of a daemon for :mod:`tools.routed`."""
         path = folder / f"{caller}.routes.json"
         path.write_text(json.dumps(self._tables[caller]))
         return path
 
 
 class RegionSwitch:
-    """Cuts the regions from each other and brings the link back.
+    """Cuts and restores the link between the regions.
 
-    :param link: the process that passes all connections between the regions
+    :param link: stand-in that forwards all connections between the regions
     """
 
     def __init__(self, link: fleet.StandIn) -> None:
         self.link = link
 
     def cut(self, is_silent: bool = False) -> None:
-        """Break everything, or lose all packets without closing anything."""
+        """Break all connections, or drop all packets without closing any."""
         self.link.set_faults(down=not is_silent, silent=is_silent)
 
     def restore(self) -> None:
-        """Let everything pass again."""
+        """Restore the link."""
         self.link.set_faults(down=False, silent=False)
 
     def mute(self, first: str, second: str) -> int:
-        """Silence the connections that are open between two daemons for good.
+        """Block the open connections between two daemons permanently.
 
-        :returns: how many there were
+        :returns: number of blocked connections
         """
         routes = [f"{first}>{second}", f"{second}>{first}"]
         before = self._count_muted()
--- a/tools/routed.py
+++ b/tools/routed.py
@@ -1,8 +1,8 @@
-"""Runs a module whose connections to some addresses go over a link.
+"""Run a module with its connections to some addresses routed over a link.
 
-A daemon reaches a target by one address wherever it runs, so the path over the link
-can't be told from the address. This starts the unchanged module with a table of routes,
-as the network of a region would have one: ``python -m tools.routed TABLE MODULE ...``.
+A target has the same address for daemons of all regions, so the address does not tell
+whether a connection crosses the link. This runs the unmodified module with a routing
+table in place of the network's: ``python -m tools.routed TABLE MODULE ...``.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 
 def install(table: abc.Mapping[str, str]) -> None:
-    """Replace addresses in every connect of this process.
+    """Replace addresses in all connection attempts of this process.
 
-    :param table: ``host:port`` of the link by ``host:port`` of the target
+    :param table: maps ``host:port`` of a target to ``host:port`` of the link
     """
     _route_sockets(table)
     _route_messages(table)
@@ -45,21 +45,21 @@
 
 def _route_messages(table: abc.Mapping[str, str]) -> None:
     for name in ("connect", "disconnect"):
-        call = getattr(zmq.Socket, name)
+        original = getattr(zmq.Socket, name)
 
         def call_routed(
-            self: typing.Any, endpoint: str, call: typing.Any = call
+            self: typing.Any, endpoint: str, original: typing.Any = original
         ) -> typing.Any:
             if not endpoint.startswith(_SCHEME):
-                return call(self, endpoint)
+                return original(self, endpoint)
             address = endpoint.removeprefix(_SCHEME)
-            return call(self, f"{_SCHEME}{table.get(address, address)}")
+            return original(self, f"{_SCHEME}{table.get(address, address)}")
 
         setattr(zmq.Socket, name, call_routed)
 
 
 def main() -> None:
-    """Install the table and run the module with the rest of the command line."""
+    """Install the table and run the module with the remaining arguments."""
     _, table, module, *arguments = sys.argv
     install(json.loads(pathlib.Path(table).read_text()))
     sys.argv = [module, *arguments]
--- a/tools/run_features.py
+++ b/tools/run_features.py
@@ -1,7 +1,7 @@
-"""Run behave over all features and count the scenarios from its own report.
+"""Run the feature files with behave and count scenarios from its JSON reports.
 
-Feature files run in a few parallel behave processes, because many scenarios mostly
-wait for processes to start or for time limits to pass.
+A few behave processes run in parallel, because many scenarios mostly wait for processes
+to start or for timeouts to expire.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
                 counts[key] += outcome[key]
             if outcome["failed"]:
                 failed_names += _describe_failures(path)
-    # A log that is cut at the front still ends with what failed.
+    # Printed last, so that a log without its start still shows the failures.
     for name in failed_names:
         print(f"failed: {name}")
     line = ", ".join(f"{count} {name}" for name, count in counts.items())
@@ -79,7 +79,7 @@
 
 
 def _describe_failures(path: pathlib.Path) -> list[str]:
-    """Return one line for each failed step of one feature file."""
+    """Return lines that describe the failed scenarios of a feature file."""
     report_path = _BUILD / f"{path.stem}.json"
     if not report_path.exists() or not report_path.read_text().strip():
         return [f"{path.name}: no report"]
@@ -94,7 +94,7 @@
 
 
 def _describe_steps(element: dict[str, typing.Any]) -> list[str]:
-    """Return the failed steps of one scenario with the end of their messages."""
+    """Return the failed steps of a scenario with the end of their messages."""
     lines = []
     for step in element.get("steps", []):
         result = step.get("result", {})
@@ -107,7 +107,7 @@
 
 
 def _count(report_path: pathlib.Path) -> dict[str, int]:
-    """Count scenarios in one JSON report of behave."""
+    """Count the scenarios in a JSON report of behave."""
     counts = {"passed": 0, "failed": 0, "skipped": 0}
     if not report_path.exists() or not report_path.read_text().strip():
         return counts
--- a/tools/toml_text.py
+++ b/tools/toml_text.py
@@ -1,4 +1,4 @@
-"""Writes dictionaries as TOML."""
+"""Renders dictionaries as TOML."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
     lines = []
     nested = []
     for key, value in data.items():
-        full = f"{path}.{key}" if path else key
+        full_path = f"{path}.{key}" if path else key
         if value is None:
             continue
         if isinstance(value, abc.Mapping):
-            nested.append(f"\n[{full}]\n{render(value, full)}")
+            nested.append(f"\n[{full_path}]\n{render(value, full_path)}")
         elif _is_table_list(value):
-            nested.extend(f"\n[[{full}]]\n{render(item, full)}" for item in value)
+            nested.extend(
+                f"\n[[{full_path}]]\n{render(item, full_path)}" for item in value
+            )
         else:
             lines.append(f"{key} = {_render_value(value)}\n")
     return "".join(lines) + "".join(nested)
