--- a/features/load_tool.feature
+++ b/features/load_tool.feature
@@ -1,11 +1,11 @@
 Feature: The load tool counts what callers would see
 
-  The targets for latency are judged by this tool. One that waits for a slow system
-  before it sends the next call, or takes a cut answer for a whole one, would show
-  targets as met that are not.
+  This tool measures the latency objectives. A tool that waits for a slow system before
+  it sends the next call, or that counts truncated responses as complete, would report
+  objectives as met that are not.
 
   Scenario: The schedule depends on the seed alone
-    Guards against runs that can't be repeated.
+    Guards against runs that cannot be repeated.
     Given an experiment of 20 calls a second for 10 seconds with the seed 5
     Then making the schedule twice gives the same arrivals
     And the seed 6 gives other arrivals
@@ -18,7 +18,7 @@
     Then 8 arrivals are before 4 seconds, 40 from 4 to 6 seconds and 8 after
 
   Scenario: A pause of the engine counts for the calls that were due in it
-    Guards against a tool that sends nothing while the system stands still.
+    Guards against a tool that stops sending while the system is paused.
     Given an experiment of 50 calls a second at equal gaps for 3 seconds
     And an engine for the load tool
     When the experiment runs while the engine is paused from 1 to 2 seconds
@@ -26,8 +26,8 @@
     And at least 43 calls took longer than 100 milliseconds
     And the longest call took at least 900 milliseconds
 
-  Scenario: An answer that breaks off is not complete
-    Guards against cut answers that count as answered.
+  Scenario: A truncated response is not complete
+    Guards against truncated responses that count as complete.
     Given an experiment of 10 calls a second at equal gaps for 1 second
     And an engine for the load tool
     And the engine breaks one stream after 3 tokens
@@ -36,7 +36,7 @@
     And the problem of the other is a broken connection
 
   Scenario: A wrong answer is not complete
-    Guards against an answer to another prompt that counts as answered.
+    Guards against a response to another prompt that counts as complete.
     Given an experiment of 10 calls a second at equal gaps for 1 second
     And an engine for the load tool
     When the experiment runs
@@ -44,7 +44,7 @@
     Then that answer is a wrong answer
 
   Scenario: Refusals are counted with their run state
-    Guards against refusals that lower the latency of the answers.
+    Guards against refusals that lower the measured latency.
     Given an experiment of 10 calls a second at equal gaps for 1 second
     And an engine for the load tool
     And the engine rejects 4 calls
@@ -53,7 +53,7 @@
     And 4 calls are refused as "503 not-run"
 
   Scenario: A value above its target is reported and fails the measurement
-    Guards against a bar that can't fail.
+    Guards against a bar that cannot fail.
     Given a bar with the target 1.05
     Then the value 1.051 does not hold and is printed so
     And the value 1.05 holds
--- a/features/steps/load_tool_steps.py
+++ b/features/steps/load_tool_steps.py
@@ -35,7 +35,7 @@
 )
 @given("an experiment of {rate:d} calls a second at equal gaps for {duration:d} second")
 def step_make_fixed(context, rate, duration):
-    # Half a gap more keeps the last arrival inside in spite of rounding.
+    # Half a gap more keeps the last arrival within the duration despite rounding.
     context.experiment = _make_experiment(rate, duration + 0.5 / rate, "fixed")
     context.expected_calls = rate * duration
 
@@ -74,7 +74,7 @@
 )
 def step_check_phases(context, before, start, inside, start2, end, after):
     times = [item.at_s for item in experiment.make_schedule(context.experiment)]
-    # An arrival at the very moment of a change belongs to the earlier phase.
+    # An arrival exactly at a change of the rate belongs to the earlier phase.
     limit_s = 1e-6
     counts = [
         sum(at_s <= start + limit_s for at_s in times),
@@ -137,9 +137,9 @@
 
 @then("at least {count:d} calls took longer than {limit:d} milliseconds")
 def step_check_slow(context, count, limit):
-    # 50 calls are due in the second of the pause; the 5 due in its last 100 ms need not
-    # be slow, and 2 more allow for the time that a pause takes to start. Without a
-    # pause a call takes about 35 ms.
+    # 50 calls are due during the pause of 1 s; the 5 due in its last 100 ms need not be
+    # slow, and 2 more allow for the delay until the pause starts. Without a pause, a
+    # call takes about 35 ms.
     slow = [item for item in context.result.outcomes if item.ended_s * 1000 > limit]
     assert len(slow) >= count, len(slow)
 
--- a/features/steps/processes_steps.py
+++ b/features/steps/processes_steps.py
@@ -40,12 +40,12 @@
 
 
 @given("a process that ignores SIGTERM")
-def step_start_stubborn(context):
+def step_start_ignoring_sigterm(context):
     _start(context, "features.support.stubborn", [], "stubborn").wait_for_line("ready")
 
 
-@given("a process that ends at once")
-def step_start_quitting(context):
+@given("a process that exits immediately")
+def step_start_exiting(context):
     context.process = _start(context, "features.support.stubborn", ["quit"], "quits")
 
 
@@ -57,8 +57,8 @@
 
 @then("no process is left")
 def step_check_none(context):
-    left = [item.pid for item in context.started if psutil.pid_exists(item.pid)]
-    assert left == [], left
+    running = [item.pid for item in context.started if psutil.pid_exists(item.pid)]
+    assert running == [], running
 
 
 @then("the folder is removed")
@@ -85,7 +85,7 @@
     assert context.waited_s < limit, context.waited_s
 
 
-@when("the service is killed and started again without any wait")
+@when("the service is killed and immediately restarted")
 def step_restart(context):
     service = context.fleet.services[0]
     service.kill()
@@ -124,11 +124,11 @@
 
 @then("no port is reserved twice")
 def step_check_distinct(context):
-    every = context.own_ports + context.other_ports
-    assert len(set(every)) == len(every)
+    all_ports = context.own_ports + context.other_ports
+    assert len(set(all_ports)) == len(all_ports)
 
 
-@then("no port is in the range for outgoing connections")
+@then("no port is in the ephemeral range")
 def step_check_range(context):
     text = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range").read_text()
     first, last = (int(item) for item in text.split())
--- a/features/steps/standins_engine_steps.py
+++ b/features/steps/standins_engine_steps.py
@@ -41,7 +41,7 @@
 
 
 @given("a stand-in engine that keeps broken streams {keep:g} seconds")
-def step_start_forgetful(context, keep):
+def step_start_keeping(context, keep):
     _start_engine(context, 4, "--keep-s", str(keep))
 
 
@@ -62,9 +62,9 @@
 
 
 @when("a caller asks for {tokens:d} tokens streamed and unstreamed")
-def step_ask_both(context, tokens):
+def step_request_both(context, tokens):
     body = engine_caller.make_body("both", tokens)
-    status, _, context.whole = engine_caller.post(
+    status, _, context.unstreamed = engine_caller.post(
         context.address, "/v1/chat/completions", body
     )
     assert status == 200
@@ -73,10 +73,10 @@
     context.events = stream.read_to_end()
 
 
-@then("both answers are the expected text of {tokens:d} tokens")
+@then("both responses are the expected text of {tokens:d} tokens")
 def step_check_both(context, tokens):
     expected = engine_caller.expected_text("both", tokens)
-    message = context.whole["choices"][0]["message"]
+    message = context.unstreamed["choices"][0]["message"]
     assert message == {"role": "assistant", "content": expected}, message
     assert engine_caller.join_text(context.events) == expected
     offsets = [event.offset for event in context.events]
@@ -86,8 +86,8 @@
 
 @then("the usage counts {tokens:d} tokens")
 def step_check_usage(context, tokens):
-    assert context.whole["usage"]["completion_tokens"] == tokens
-    assert context.events[-2].usage == context.whole["usage"]
+    assert context.unstreamed["usage"]["completion_tokens"] == tokens
+    assert context.events[-2].usage == context.unstreamed["usage"]
 
 
 @when(
@@ -197,7 +197,7 @@
     connection.close()
 
 
-@when("open streams go silent after {tokens:d} more tokens")
+@when("open streams stall after {tokens:d} more tokens")
 def step_silence(context, tokens):
     context.engine.set_faults(silent_after=tokens)
 
@@ -207,7 +207,7 @@
     stream = context.streams["first"]
     sock = stream.connection.sock
     deadline_s = time.monotonic() + 5
-    # Tokens that were sent before the fault was set may still be in the buffers.
+    # Tokens that were sent before the fault was set may still be buffered.
     while time.monotonic() < deadline_s:
         sock.settimeout(wait)
         try:
@@ -215,10 +215,10 @@
         except TimeoutError:
             return
         assert event is not None, "the connection was closed"
-    raise AssertionError("the stream goes on")
+    raise AssertionError("the stream did not stall")
 
 
-@then("a new stream of {tokens:d} tokens is answered in full")
+@then("a new stream of {tokens:d} tokens is complete")
 def step_check_new(context, tokens):
     events = _open(context, "new", tokens).read_to_end()
     text = engine_caller.join_text(events)
@@ -250,26 +250,26 @@
 def step_send_prompt(context, text):
     body = engine_caller.make_body(text)
     try:
-        context.answer = engine_caller.post(
+        context.response = engine_caller.post(
             context.address, "/v1/chat/completions", body
         )
     except (http.client.HTTPException, ConnectionError):
-        context.answer = None
+        context.response = None
 
 
 @when('a caller asks for the model "{model}"')
-def step_ask_model(context, model):
+def step_request_model(context, model):
     body = engine_caller.make_body("any", model=model)
-    context.answer = engine_caller.post(context.address, "/v1/chat/completions", body)
+    context.response = engine_caller.post(context.address, "/v1/chat/completions", body)
 
 
 @then("the engine's process has ended")
 def step_check_crashed(context):
-    assert context.answer is None, context.answer
+    assert context.response is None, context.response
     assert context.engine.process.wait(5) != 0
 
 
-@when('the order "{action}" for "{model}" with number {number:d} is sent')
+@when('the order "{action}" for "{model}" with fencing token {number:d} is sent')
 def step_order(context, action, model, number):
     body = {"fencing_number": number, "action": action, "model": model}
     context.order = engine_caller.post(context.address, "/v1/orders", body)
@@ -295,16 +295,16 @@
     context.engine.set_faults(reject=1)
 
 
-@then('the answer has status {status:d} and the run state "{state}"')
+@then('the response has status {status:d} and the run state "{state}"')
 def step_check_refusal(context, status, state):
-    assert context.answer[0] == status, context.answer
-    assert context.answer[1]["X-Run-State"] == state, context.answer
+    assert context.response[0] == status, context.response
+    assert context.response[1]["X-Run-State"] == state, context.response
 
 
-@then('the answer has status {status:d} and the error code "{code}"')
+@then('the response has status {status:d} and the error code "{code}"')
 def step_check_error(context, status, code):
-    assert context.answer[0] == status, context.answer
-    assert context.answer[2]["error"]["code"] == code, context.answer
+    assert context.response[0] == status, context.response
+    assert context.response[2]["error"]["code"] == code, context.response
 
 
 @then("the record has no run")
@@ -327,16 +327,18 @@
     return engine_caller.get(context.address, "/v1/cache-events?after=0")[2]["events"]
 
 
-@then("the second run found all whole blocks cached")
+@then("the second run found all full blocks cached")
 def step_check_cached(context):
     blocks = len(f"user\n{_LONG_PROMPT}\n") // 256
     assert [run["cached_blocks"] for run in _runs(context)] == [0, blocks]
 
 
-@then("the cache events appear only after the first answer")
+@then("the cache events appear only after the first response")
 def step_check_events(context):
     assert context.early_events == [], context.early_events
-    engine_caller.wait_until(lambda: _cache_events(context), 10, "there is no event")
+    engine_caller.wait_until(
+        lambda: _cache_events(context), 10, "no cache event was reported"
+    )
     event = _cache_events(context)[0]
     assert event["kind"] == "stored"
     assert len(event["prefix_hashes"]) == _runs(context)[1]["cached_blocks"]
--- a/features/steps/standins_reports_steps.py
+++ b/features/steps/standins_reports_steps.py
@@ -13,7 +13,7 @@
 _CALL = "/v1/chat/completions"
 
 
-def _start(context, engines, **plan):
+def _start_fleet(context, engines, **plan):
     context.fleet = fleet.Fleet(fleet.FleetPlan(daemons=0, engines=engines, **plan))
     context.cleanups.append(context.fleet.close)
     context.fleet.start_stand_ins()
@@ -29,7 +29,7 @@
 
 @given("a stand-in engine whose load reports lag {lag:g} seconds")
 def step_start_lagging(context, lag):
-    _start(context, 1, engine_arguments=("--lag-s", str(lag)))
+    _start_fleet(context, 1, engine_arguments=("--lag-s", str(lag)))
 
 
 @then("the load report still shows {count:d} running requests")
@@ -40,7 +40,9 @@
 @then("within {limit:d} seconds the load report shows {count:d} running request")
 def step_check_load(context, limit, count):
     engine_caller.wait_until(
-        lambda: _load(context)["running"] == count, limit, "the load does not show"
+        lambda: _load(context)["running"] == count,
+        limit,
+        "the load report does not show the requests",
     )
 
 
@@ -81,10 +83,10 @@
     assert found == [f"attempt-{name}"], found
 
 
-@given("a stand-in engine that leaves out half of its cache events")
+@given("a stand-in engine that drops half of its cache events")
 def step_start_gaps(context):
     arguments = ("--gap-share", "0.5", "--event-lag-s", "0", "--seed", "3")
-    _start(context, 1, engine_arguments=arguments)
+    _start_fleet(context, 1, engine_arguments=arguments)
 
 
 @when("{count:d} different long prompts are sent")
@@ -97,7 +99,7 @@
 
 @then("between {least:d} and {most:d} events can be read, in rising order")
 def step_check_gaps(context, least, most):
-    # The seed fixes which events are left out; the bounds are those of a fair coin.
+    # The seed determines which events are dropped; the bounds are those of a fair coin.
     path = "/v1/cache-events?after=0"
     events = engine_caller.get(context.address, path)[2]["events"]
     context.numbers = [event["n"] for event in events]
@@ -114,7 +116,7 @@
 
 @given("two stand-in engines")
 def step_start_two(context):
-    _start(context, 2)
+    _start_fleet(context, 2)
 
 
 @when("a long prompt is sent to the first engine")
@@ -151,7 +153,7 @@
         return response.read()
 
 
-@then("the run at the second engine found all whole blocks cached")
+@then("the run at the second engine found all full blocks cached")
 def step_check_moved(context):
     runs = context.fleet.engines[1].record()["runs"]
     assert [run["cached_blocks"] for run in runs] == [len(context.hashes)], runs
@@ -160,7 +162,7 @@
 @given("a weight store of {rate:d} bytes a second with weights of {size:d} bytes")
 def step_start_weights(context, rate, size):
     arguments = ("--weights-bytes-per-s", str(rate), "--weights-bytes", str(size))
-    _start(context, 0, platform_arguments=arguments)
+    _start_fleet(context, 0, platform_arguments=arguments)
     context.size = size
 
 
@@ -180,14 +182,14 @@
 
 @then("both are complete after at least {least:g} seconds")
 def step_check_fetch(context, least):
-    # 600,000 bytes at 1,000,000 a second take 0.6 s.
+    # 600,000 bytes at 1,000,000 bytes/s take 0.6 s.
     assert context.elapsed_s >= least, context.elapsed_s
 
 
 @given("an engine that loads weights of {size:d} bytes at {rate:d} bytes a second")
 def step_start_loading(context, size, rate):
     arguments = ("--weights-bytes-per-s", str(rate), "--weights-bytes", str(size))
-    _start(
+    _start_fleet(
         context,
         1,
         loads_weights=True,
@@ -199,7 +201,7 @@
 
 @then('the model "{name}" is offered after at least {least:g} seconds')
 def step_check_offered(context, name, least):
-    # 300,000 bytes at 600,000 a second take 0.5 s.
+    # 300,000 bytes at 600,000 bytes/s take 0.5 s.
     context.in_progress = set()
 
     def is_offered():
@@ -217,11 +219,11 @@
     assert context.in_progress == {(False, 1), (True, 0)}, context.in_progress
 
 
-@when("a caller sends an unstreamed request for {tokens:d} tokens and gets no answer")
+@when("a caller sends an unstreamed request for {tokens:d} tokens and gets no response")
 def step_send_dropped(context, tokens):
     body = engine_caller.make_body("dropped", tokens)
     try:
         answer = engine_caller.post(context.address, _CALL, body)
     except (http.client.HTTPException, ConnectionError):
         return
-    raise AssertionError(f"there was an answer: {answer}")
+    raise AssertionError(f"a response was received: {answer}")
--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -13,14 +13,14 @@
 from tools import fleet
 
 
-def _start(context, **plan):
+def _start_fleet(context, **plan):
     context.fleet = fleet.Fleet(fleet.FleetPlan(daemons=0, **plan))
     context.cleanups.append(context.fleet.close)
     context.fleet.start_stand_ins()
 
 
 def _start_platform(context, *arguments):
-    _start(context, engines=0, platform_arguments=arguments)
+    _start_fleet(context, engines=0, platform_arguments=arguments)
     context.platform = context.fleet.store
     pool = http_pool.HttpPool(
         types.parse_address(context.platform.address), http_pool.PoolSettings()
@@ -59,12 +59,12 @@
     _start_platform(context, "--lag-s", str(lag))
 
 
-@when("the platform is told to lose 1 answer")
+@when("the platform loses the next response")
 def step_lose_answer(context):
     context.platform.set_faults(lose_answer=1)
 
 
-@when('the platform is told to lose 1 answer of the table "{name}"')
+@when('the platform loses the next response for the table "{name}"')
 def step_lose_answer_on(context, name):
     context.platform.set_faults(lose_answer=1, lose_answer_on=name)
 
@@ -89,14 +89,14 @@
     context.elapsed_s = time.monotonic() - started_s
 
 
-@then("the client does not know whether the write took effect")
+@then("the outcome of the write is unknown to the client")
 def step_check_unknown(context):
     assert isinstance(context.outcome, result.Err), context.outcome
     error = context.outcome.err_value
     assert isinstance(error, store.StoreOutcomeUnknown), error
 
 
-@then("the client knows that the write took effect")
+@then("the client sees that the write succeeded")
 def step_check_applied(context):
     assert isinstance(context.outcome, result.Ok), context.outcome
 
@@ -131,15 +131,15 @@
     assert error.rows[pair].revision == 1
 
 
-@then("at least {rate:d} are written and at most what the rate allows")
+@then("at least {rate:d} are written, within the rate limit")
 def step_check_rate(context, rate):
-    # The burst is one second's worth; the rest comes at the rate.
+    # The burst is one second's worth of tokens; the rest is added at the rate.
     written = sum(item.is_ok() for item in context.outcomes)
     assert rate <= written <= rate + rate * context.elapsed_s, written
     assert written < len(context.outcomes), written
 
 
-@then("the others are refused with a wait of at most 1 second")
+@then("the others are refused with a retry delay of at most 1 second")
 def step_check_refused(context):
     errors = [item.err_value for item in context.outcomes if item.is_err()]
     assert all(isinstance(item, store.StoreOverloaded) for item in errors), errors
@@ -178,7 +178,7 @@
     context.platform.set_faults(down=True)
 
 
-@when("the platform comes back")
+@when("the platform comes back up")
 def step_come_back(context):
     context.platform.set_faults(down=False)
 
@@ -192,7 +192,7 @@
     assert data == b""
 
 
-@then("the client knows that the store is unavailable")
+@then("the client sees that the store is unavailable")
 def step_check_unavailable(context):
     _insert(context, ["jobs/none"], "op-none")
     error = context.outcome.err_value
@@ -250,22 +250,22 @@
 
 @given("a stand-in service")
 def step_start_service(context):
-    _start(context, engines=0, services=1)
+    _start_fleet(context, engines=0, services=1)
 
 
-@when("the service is told to lose 1 answer")
+@when("the service loses the next response")
 def step_lose_service_answer(context):
     context.fleet.services[0].set_faults(lose_answer=1)
 
 
-@when('a caller posts "{path}" with the key "{key}" and gets no answer')
+@when('a caller posts "{path}" with the key "{key}" and gets no response')
 def step_post_lost(context, path, key):
     address = context.fleet.services[0].address
     try:
         engine_caller.post(address, path, {}, {"Idempotency-Key": key})
     except (http.client.HTTPException, ConnectionError):
         return
-    raise AssertionError("there was an answer")
+    raise AssertionError("a response was received")
 
 
 @when('a caller posts "{path}" with the key "{key}"')
@@ -284,9 +284,11 @@
 
 @given("a balancer in front of 2 stand-in services")
 def step_start_balancer(context):
-    _start(context, engines=0, services=2, service_arguments=("--work-ms", "1500"))
-    listens = [service.address for service in context.fleet.services]
-    context.fleet.start_balancer(listens)
+    _start_fleet(
+        context, engines=0, services=2, service_arguments=("--work-ms", "1500")
+    )
+    addresses = [service.address for service in context.fleet.services]
+    context.fleet.start_balancer(addresses)
 
     def are_ready():
         backends = context.fleet.balancer.record()["backends"]
@@ -323,7 +325,7 @@
     def is_left_out():
         return not context.fleet.balancer.record()["backends"][0]["is_ready"]
 
-    engine_caller.wait_until(is_left_out, 10, "the service is not left out")
+    engine_caller.wait_until(is_left_out, 10, "the balancer does not skip the service")
 
 
 @then("new calls go to the service 1 only")
@@ -335,7 +337,7 @@
         assert body["service"] == "service-1", body
 
 
-@then("both slow calls are answered")
+@then("both slow calls succeed")
 def step_check_slow(context):
     answers = [call.result(timeout=10) for call in context.slow_calls]
     assert [answer[0] for answer in answers] == [200, 200], answers
--- a/features/support/engine_caller.py
+++ b/features/support/engine_caller.py
@@ -1,4 +1,4 @@
-"""Calls an engine or a daemon the way a caller does, over plain sockets."""
+"""Calls an engine or a daemon as a caller would, over plain HTTP connections."""
 
 import dataclasses
 import http.client
@@ -29,7 +29,7 @@
 
 
 class EventStream:
-    """An open stream of events."""
+    """An open stream of server-sent events."""
 
     def __init__(self, connection):
         self.connection = connection
@@ -60,7 +60,7 @@
         return events
 
     def read_to_end(self):
-        """Return all further events up to the end or the break of the connection."""
+        """Return the remaining events until the stream ends or breaks."""
         events = []
         try:
             while (event := self.read_event()) is not None:
@@ -70,7 +70,7 @@
         return events
 
     def break_connection(self):
-        """Close the connection with a reset, as a lost caller would appear."""
+        """Shut the connection down, like a caller that has disappeared."""
         sock = self.connection.sock or self.response.fp.raw._sock
         sock.shutdown(socket.SHUT_RDWR)
         self.connection.close()
@@ -97,7 +97,7 @@
 
 
 def post(address, path, body, headers=None, timeout_s=10.0):
-    """Return status, headers and decoded body of a POST."""
+    """Send a POST; return the status, headers and decoded body."""
     connection = open_post(address, path, body, headers, timeout_s)
     response = connection.getresponse()
     data = response.read()
@@ -106,7 +106,7 @@
 
 
 def get(address, path, headers=None, method="GET", timeout_s=10.0):
-    """Return status, headers and decoded body of a call without a body."""
+    """Send a request without a body; return the status, headers and decoded body."""
     host, _, port = address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     connection.request(method, path, headers=headers or {})
@@ -140,7 +140,7 @@
 
 
 def wait_until(is_true, timeout_s, problem):
-    """Wait for a condition; the bound is generous, since machines are shared."""
+    """Wait for a condition; use generous timeouts, since machines are shared."""
     deadline_s = time.monotonic() + timeout_s
     while not is_true():
         assert time.monotonic() < deadline_s, f"{problem} within {timeout_s} s"
