--- a/features/standins.feature
+++ b/features/standins.feature
@@ -136,8 +136,8 @@
     Then the engine's process has ended
 
   Scenario Outline: A stale fencing token is <verdict>
-    Guards against a stand-in that always checks tokens, with which orders would pass
-    that rely on the check.
+    Guards against a stand-in that always checks tokens, which would hide orders that
+    are not fenced.
     Given a stand-in engine that <checks> fencing numbers
     When the order "load_model" for "extra-lm" with fencing token 7 is sent
     And the order "unload_model" for "extra-lm" with fencing token 3 is sent
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -172,11 +172,11 @@
         """Return the list as of the lag ago."""
         lag_s = request.app[faults.FAULTS].lag_s
         as_of_s = time.time() - (self._lag_s if lag_s is None else lag_s)
-        shown = self._versions[0][1]
+        visible = self._versions[0][1]
         for since_s, vms in self._versions:
             if since_s <= as_of_s:
-                shown = vms
-        return web.json_response({"as_of_s": as_of_s, "vms": shown})
+                visible = vms
+        return web.json_response({"as_of_s": as_of_s, "vms": visible})
 
     async def change(self, request: web.Request) -> web.Response:
         """Set the list: ``{"vms": [...], "at_once": false}``."""
--- a/tools/audit.py
+++ b/tools/audit.py
@@ -55,11 +55,11 @@
             continue
         if entry["value"] is not None and entry["value"]["state"] == "done":
             commits[entry["key"]].append(entry["value"])
-    seen: collections.Counter[str] = collections.Counter()
+    result_counts: collections.Counter[str] = collections.Counter()
     for rows in commits.values():
         audit.doubled += len(rows) - 1
         for line in _read_results(store_url, rows[0]["result"]):
-            seen[line["custom_id"]] += 1
+            result_counts[line["custom_id"]] += 1
             if line["error"] is not None or line["response"]["status_code"] != 200:
                 audit.failed += 1
                 continue
@@ -67,8 +67,8 @@
             body = bodies[line["custom_id"]]
             text = line["response"]["body"]["choices"][0]["message"]["content"]
             audit.lost += text != _expected_text(body)
-    audit.lost += len(bodies.keys() - seen.keys())
-    audit.doubled += sum(count - 1 for count in seen.values())
+    audit.lost += len(bodies.keys() - result_counts.keys())
+    audit.doubled += sum(count - 1 for count in result_counts.values())
     return audit
 
 
