--- a/tools/audit.py
+++ b/tools/audit.py
@@ -1,4 +1,4 @@
-"""Counts lost and doubled work from the records of the stand-ins."""
+"""Counts lost and duplicated work from the records of the stand-ins."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Audit:
-    """What the records of the platform and the targets say.
+    """Counts from the records of the platform and the targets.
 
     :param done: items with a committed success
     :param failed: items with a committed failure
-    :param lost: accepted work without a result, or with a wrong one
+    :param lost: accepted work with a missing or wrong result
     :param doubled: work that took effect more than once
     """
 
@@ -55,30 +55,30 @@
             continue
         if entry["value"] is not None and entry["value"]["state"] == "done":
             commits[entry["key"]].append(entry["value"])
-    seen: collections.Counter[str] = collections.Counter()
+    result_counts: collections.Counter[str] = collections.Counter()
     for rows in commits.values():
         audit.doubled += len(rows) - 1
         for line in _read_results(store_url, rows[0]["result"]):
-            seen[line["custom_id"]] += 1
+            result_counts[line["custom_id"]] += 1
             if line["error"] is not None or line["response"]["status_code"] != 200:
                 audit.failed += 1
                 continue
             audit.done += 1
             body = bodies[line["custom_id"]]
             text = line["response"]["body"]["choices"][0]["message"]["content"]
-            audit.lost += text != _expected(body)
-    audit.lost += len(bodies.keys() - seen.keys())
-    audit.doubled += sum(count - 1 for count in seen.values())
+            audit.lost += text != _expected_text(body)
+    audit.lost += len(bodies.keys() - result_counts.keys())
+    audit.doubled += sum(count - 1 for count in result_counts.values())
     return audit
 
 
 def audit_calls(
     records: abc.Collection[abc.Mapping[str, typing.Any]], answered: set[str]
 ) -> Audit:
-    """Compare the calls that services ran with those that callers saw answered.
+    """Compare the calls that services ran with those that succeeded for clients.
 
-    :param records: records of the plain services' stand-ins
-    :param answered: idempotency keys of the calls that were answered with success
+    :param records: records of the stand-ins for plain services
+    :param answered: idempotency keys of the calls that succeeded
     """
     audit = Audit()
     runs: collections.Counter[str] = collections.Counter(
@@ -90,12 +90,12 @@
 
 
 def _read_results(store_url: str, key: str) -> list[dict[str, typing.Any]]:
-    """Return the lines of a result object; each starts with its position and mark."""
+    """Return the lines of a result object without their prefix, a position and mark."""
     quoted = urllib.parse.quote(key, safe="")
     with urllib.request.urlopen(f"{store_url}/v1/objects/{quoted}") as response:
         data = response.read()
     return [json.loads(line[line.index(b"{") :]) for line in data.splitlines()]
 
 
-def _expected(body: abc.Mapping[str, typing.Any]) -> str:
+def _expected_text(body: abc.Mapping[str, typing.Any]) -> str:
     return completions.expected_text(body["messages"], body["max_tokens"])
