--- a/features/steps/retention_steps.py
+++ b/features/steps/retention_steps.py
@@ -111,7 +111,7 @@
                 for item in context.shards
                 if item.table == table
                 and key.startswith(item.prefix)
-                and item.find_jump(key) is None
+                and item.find_resume_key(key) is None
             ]
             assert len(found) == 1, (key, found)
 
@@ -123,7 +123,7 @@
         owners = [
             name
             for name in context.members
-            if shards.is_own(shard, name, context.members)
+            if shards.is_assigned(shard, name, context.members)
         ]
         assert len(owners) == 1, owners
         counts[owners[0]] += 1
@@ -149,12 +149,12 @@
 @when("{daemons:d} daemons sweep for {duration_s:d} s")
 def step_pace(context, daemons, duration_s):
     context.rates = {}
-    for kind in pacing.Kind:
+    for kind in pacing.BudgetKind:
         manual = clock.ManualClock()
         pacer = pacing.Pacer(manual, lambda: daemons, manual.advance)
         count = 0
         while manual.monotonic_s() < duration_s:
-            pacer.take(kind, 1)
+            pacer.acquire(kind, 1)
             count += 1
         context.rates[kind] = count * daemons / duration_s
     print(context.rates)
@@ -167,8 +167,8 @@
 def step_check_rates(context, reads, writes):
     # Each daemon's first call comes at once, which adds 340 calls to 3,600 s.
     first = 340 / 3600
-    assert context.rates[pacing.Kind.ROWS_READ] <= reads + 2 * first
-    assert context.rates[pacing.Kind.ROWS_WRITTEN] <= writes + 2 * first
+    assert context.rates[pacing.BudgetKind.ROWS_READ] <= reads + 2 * first
+    assert context.rates[pacing.BudgetKind.ROWS_WRITTEN] <= writes + 2 * first
 
 
 @when("a job of {count:d} chunks is swept until nothing is left")
@@ -260,7 +260,9 @@
         for item in shards.list_shards(context.batch.fleet.plan.organisations)
         if context.job.id.startswith(item.prefix) and not item.skipped
     ]
-    owner = next(item for item in daemons if shards.is_own(shard, item.name, names))
+    owner = next(
+        item for item in daemons if shards.is_assigned(shard, item.name, names)
+    )
     owner.kill()
     context.alive = next(
         index for index, item in enumerate(daemons) if item is not owner
--- a/features/support/fuzz_retention.py
+++ b/features/support/fuzz_retention.py
@@ -35,12 +35,12 @@
     """Broken: writes and deletes rows whatever they have become."""
 
     def write(self, row, value, is_due=None):
-        self._pacer.take(None, 1)
+        self._pacer.acquire(None, 1)
         self._store.transact("broken", [], [store.Write(row.table, row.key, value)])
         return self._store.rows(row.table)[row.key]
 
     def delete_rows(self, rows, kind, guard=None, is_due=None):
-        self._pacer.take(None, 1)
+        self._pacer.acquire(None, 1)
         writes = [store.Write(item.table, item.key, None) for item in rows]
         return isinstance(self._store.transact("broken", [], writes), result.Ok)
 
--- a/features/support/retention_world.py
+++ b/features/support/retention_world.py
@@ -58,7 +58,7 @@
     def __init__(self):
         self.plan = []
 
-    def take(self, kind, count):
+    def acquire(self, kind, count):
         action = self.plan.pop(0) if self.plan else None
         if action is not None:
             action()
@@ -86,11 +86,11 @@
         for part, shard in self._parts[first:] + self._parts[:first]:
             try:
                 part.sweep(shard)
-            except platform_calls.SweepBroken:
+            except platform_calls.SweepAborted:
                 continue
         try:
-            self._files.settle()
-        except platform_calls.SweepBroken:
+            self._files.resolve_marked()
+        except platform_calls.SweepAborted:
             return
 
 
--- a/src/endivevane/retention/__init__.py
+++ b/src/endivevane/retention/__init__.py
@@ -1,1 +1,1 @@
-"""Deletion of batch data and at-most-once rows after their retention periods."""
+"""Deletes batch data and at-most-once rows after their retention periods."""
--- a/src/endivevane/retention/decisions.py
+++ b/src/endivevane/retention/decisions.py
@@ -1,4 +1,4 @@
-"""Decides what may be deleted, from rows and the time alone."""
+"""Retention policy: decides what may be deleted, from rows and the time alone."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from endivevane.configuration import snapshot
 from endivevane.coordination import clock, register
 
-# Holders of lost claims that were paused write their objects within this time, nearly
-# always; later ones are deleted with the results.
+# A daemon that was paused and has lost its claim nearly always writes its object within
+# this time; later objects are deleted with the results.
 COLLECT_DELAY_S = 600.0
-# A key without an outcome is kept longer: nobody knows whether its call has run.
-_CLAIMED_FACTOR = 2.0
+# A key without an outcome is kept longer, since its call may or may not have run.
+_CLAIMED_RETENTION_FACTOR = 2.0
 
 
 class JobStep(enum.StrEnum):
-    """What is due for a job.
+    """Next retention step of a job.
 
-    ``COLLECT`` deletes objects that no chunk names, ``EXPIRE`` ends the readability of
-    the results, ``ERASE`` deletes them and ``FORGET`` deletes the job's row.
+    ``COLLECT`` deletes objects that no chunk refers to, ``EXPIRE`` makes the results
+    unreadable, ``ERASE`` deletes them and ``FORGET`` deletes the job's row.
     """
 
     KEEP = "keep"
@@ -32,10 +32,10 @@
 
 
 class FileStep(enum.StrEnum):
-    """What is due for an input file.
+    """Next retention step of an input file.
 
-    ``MARK`` keeps new jobs off it, ``SETTLE`` looks for open jobs that read it and
-    ``ERASE`` deletes it.
+    ``MARK`` prevents new jobs from using it, ``SETTLE`` checks whether open jobs read
+    it and ``ERASE`` deletes it.
     """
 
     KEEP = "keep"
@@ -45,7 +45,7 @@
 
 
 class RegisterStep(enum.StrEnum):
-    """What is due for a row of the register of at-most-once calls.
+    """Next retention step of a row of the register of at-most-once calls.
 
     ``DELETE`` deletes a row without an object; ``EXPIRE`` marks a row that may have
     one, and ``ERASE`` deletes the object and then the row.
@@ -58,9 +58,9 @@
 
 
 class Policy:
-    """Applies the retention periods in force.
+    """Computes the next retention step from the retention periods in force.
 
-    :param policy_clock: its wall clock is compared with the times in the rows
+    :param policy_clock: its wall time is compared with the times in the rows
     :param get_snapshot: returns the configuration in force
     """
 
@@ -73,7 +73,7 @@
         self._get_snapshot = get_snapshot
 
     def now_ms(self) -> int:
-        """Return the wall time that the decisions rest on."""
+        """Return the wall time that decisions are based on."""
         return self._clock.wall_ms()
 
     def decide_job(self, job: records.Job) -> JobStep:
@@ -110,7 +110,7 @@
         period_s = self._get_snapshot().register_retention_s
         age_s = self._compute_age_s(value["claimed_ms"])
         if value["state"] == register.CLAIMED:
-            is_due = age_s >= _CLAIMED_FACTOR * period_s
+            is_due = age_s >= _CLAIMED_RETENTION_FACTOR * period_s
             return RegisterStep.EXPIRE if is_due else RegisterStep.KEEP
         if age_s < period_s:
             return RegisterStep.KEEP
--- a/src/endivevane/retention/file_sweeper.py
+++ b/src/endivevane/retention/file_sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes input files that no open job reads."""
+"""Deletes old input files that no open job reads."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from endivevane.retention import decisions, platform_calls, shards
 
 _OPEN_JOBS = shards.Shard(records.OPEN, "")
-# Files that are settled with one scan of the open jobs.
-_MAX_MARKED = 500
+# Bounds the files that are checked with one scan of the open jobs.
+_MAX_MARKED_FILES = 500
 
 
 class FileSweeper:
-    """Carries out what is due for input files.
+    """Applies the retention policy to input files.
 
     A file is marked first, so that no job can be created with it. The open jobs are
-    read after that: those that use the file can only become fewer. A second conditional
-    write, on the revision of the mark, then decides that the file is erased.
+    read after that, since no further job can start to use the file. A second write,
+    conditional on the revision of the mark, then commits to erasing the file.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self._marked: list[store.Row] = []
 
     def sweep(self, shard: shards.Shard) -> None:
-        """Mark the files of a shard that are due; :meth:`settle` erases them."""
+        """Mark the due files of a shard; :meth:`resolve_marked` erases them."""
         for row in self._calls.scan(shard):
             record = records.decode(records.InputFile, row.value)
             step = self._policy.decide_file(record)
@@ -41,14 +41,14 @@
             if step is decisions.FileStep.MARK:
                 written = self._set_state(row, records.FileState.DELETING)
                 self._marked += [written] if written is not None else []
-            if len(self._marked) >= _MAX_MARKED:
-                self.settle()
+            if len(self._marked) >= _MAX_MARKED_FILES:
+                self.resolve_marked()
 
-    def settle(self) -> None:
-        """Erase the marked files that are not in use and free the others.
+    def resolve_marked(self) -> None:
+        """Erase the marked files that are not in use and make the others ready again.
 
-        One scan of the open jobs serves all of them, as it costs as many reads as there
-        are open jobs.
+        One scan of the open jobs serves all of them, since it reads the row of every
+        open job.
         """
         marked, self._marked = self._marked, []
         if not marked:
@@ -57,9 +57,9 @@
         open_rows = self._calls.scan(_OPEN_JOBS)
         used = {row.value["input_file_id"] for row in open_rows} & wanted
         for row in marked:
-            self._settle_one(row, row.key in used)
+            self._resolve(row, row.key in used)
 
-    def _settle_one(self, row: store.Row, is_used: bool) -> None:
+    def _resolve(self, row: store.Row, is_used: bool) -> None:
         if not is_used:
             states = records.FileState
             erasing = self._set_state(row, states.ERASING, lambda: self._is_due(row))
--- a/src/endivevane/retention/platform_calls.py
+++ b/src/endivevane/retention/platform_calls.py
@@ -1,4 +1,4 @@
-"""Paced calls of the sweepers, which break a sweep off when the platform fails."""
+"""Rate-limited store calls of the sweepers; a failed call aborts the sweep."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from endivevane.coordination import store
 from endivevane.retention import pacing, shards
 
-_PAGE = 100
+_PAGE_SIZE = 100
 
 
 def _is_always_due() -> bool:
     return True
 
 
-class SweepBroken(exceptions.EndivevaneError):
-    """A call of a sweep failed; a later sweep goes on from the rows.
+class SweepAborted(exceptions.EndivevaneError):
+    """A call of a sweep failed; a later sweep resumes from the state of the rows.
 
     :param cause: the error of the table service or object store
     """
@@ -30,15 +30,15 @@
         self.cause = cause
 
     def format_message(self) -> str:
-        """Return the cause."""
+        """Return the message of the cause."""
         return self.cause.format_message()
 
 
 class PlatformCalls:
-    """Reads, conditional writes and deletes within the budget.
+    """Reads, writes conditionally and deletes within the budget.
 
-    :raises SweepBroken: all calls, when the platform fails or an outcome is unknown
-    :raises pacing.SweepStopped: all calls, when the daemon is stopping
+    :raises SweepAborted: by all calls, when the platform fails or an outcome is unknown
+    :raises pacing.SweepStopped: by all calls, when the daemon is stopping
     """
 
     def __init__(
@@ -55,18 +55,20 @@
         """Yield the rows of a shard in order of their keys."""
         after = ""
         while True:
-            self._pacer.take(pacing.Kind.ROWS_READ, 1)
-            page = _unwrap(self._store.scan(shard.table, shard.prefix, after, _PAGE))
-            self._pacer.take(pacing.Kind.ROWS_READ, len(page))
+            self._pacer.acquire(pacing.BudgetKind.ROWS_READ, 1)
+            page = _unwrap(
+                self._store.scan(shard.table, shard.prefix, after, _PAGE_SIZE)
+            )
+            self._pacer.acquire(pacing.BudgetKind.ROWS_READ, len(page))
             for row in page:
                 after = row.key
-                jump = shard.find_jump(row.key)
-                if jump is not None:
-                    after = jump
+                resume_key = shard.find_resume_key(row.key)
+                if resume_key is not None:
+                    after = resume_key
                     break
                 yield row
             else:
-                if len(page) < _PAGE:
+                if len(page) < _PAGE_SIZE:
                     return
 
     def write(
@@ -75,14 +77,14 @@
         value: dict[str, typing.Any],
         is_due: abc.Callable[[], bool] = _is_always_due,
     ) -> store.Row | None:
-        """Replace a row that has not changed.
+        """Replace a row if it has not changed.
 
-        :param is_due: asked after the wait for the budget, which may take minutes, in
-            which a longer period may have been published
-        :returns: the new row; ``None`` when somebody else has changed it or the write
-            is no longer due
+        :param is_due: called after the wait for the budget, which may take minutes,
+            since a longer retention period may have been published meanwhile
+        :returns: the new row; ``None`` when the row has changed or the write is no
+            longer due
         """
-        self._pacer.take(pacing.Kind.ROWS_WRITTEN, 1)
+        self._pacer.acquire(pacing.BudgetKind.ROWS_WRITTEN, 1)
         if not is_due():
             return None
         outcome = store.transact_with_readback(
@@ -103,19 +105,19 @@
         guard: store.Row | None = None,
         is_due: abc.Callable[[], bool] = _is_always_due,
     ) -> bool:
-        """Delete rows together if none of them has changed.
+        """Delete rows in one transaction if none of them has changed.
 
         :param guard: a further row that must not have changed
         :param is_due: see :meth:`write`
         :returns: whether they were deleted
         """
-        self._pacer.take(pacing.Kind.ROWS_WRITTEN, len(rows))
+        self._pacer.acquire(pacing.BudgetKind.ROWS_WRITTEN, len(rows))
         if not is_due():
             return False
-        named = [*rows, guard] if guard is not None else rows
+        checked = [*rows, guard] if guard is not None else rows
         outcome = self._store.transact(
             utils.make_id("retention"),
-            [store.Condition(item.table, item.key, item.revision) for item in named],
+            [store.Condition(item.table, item.key, item.revision) for item in checked],
             [store.Write(item.table, item.key, None) for item in rows],
         )
         is_applied = _unwrap_write(outcome) is not None
@@ -125,26 +127,26 @@
 
     def list_objects(self, prefix: str) -> list[str]:
         """Return the keys of the objects with a prefix."""
-        self._pacer.take(pacing.Kind.OBJECT_CALLS, 1)
+        self._pacer.acquire(pacing.BudgetKind.OBJECT_CALLS, 1)
         return [item.key for item in _unwrap(self._objects.list(prefix))]
 
     def delete_object(self, key: str, kind: str) -> None:
-        """Delete an object, which may be missing."""
-        self._pacer.take(pacing.Kind.OBJECT_CALLS, 1)
+        """Delete an object; it may be missing."""
+        self._pacer.acquire(pacing.BudgetKind.OBJECT_CALLS, 1)
         _unwrap(self._objects.delete(key))
         metrics.RETENTION_DELETED.labels(kind).inc()
 
 
 def _unwrap(outcome: result.Result[typing.Any, typing.Any]) -> typing.Any:
     if isinstance(outcome, result.Err):
-        raise SweepBroken(outcome.err_value)
+        raise SweepAborted(outcome.err_value)
     return outcome.ok_value
 
 
 def _unwrap_write(outcome: result.Result[int, store.StoreError]) -> int | None:
-    """Return the revision, ``None`` for a conflict."""
+    """Return the revision; ``None`` for a conflict."""
     if isinstance(outcome, result.Err):
         if isinstance(outcome.err_value, store.StoreConflict):
             return None
-        raise SweepBroken(outcome.err_value)
+        raise SweepAborted(outcome.err_value)
     return outcome.ok_value
--- a/src/endivevane/retention/register_sweeper.py
+++ b/src/endivevane/retention/register_sweeper.py
@@ -8,10 +8,10 @@
 
 
 class RegisterSweeper(row_sweeper.RowSweeper):
-    """Carries out what is due for rows of the register."""
+    """Applies the retention policy to rows of the register."""
 
     def advance(self, row: store.Row) -> None:
-        """Delete a row if it is due, its object before it."""
+        """Delete a row if it is due, after its object."""
         step = self._policy.decide_register_row(row.value)
 
         def is_due() -> bool:
--- a/src/endivevane/retention/row_sweeper.py
+++ b/src/endivevane/retention/row_sweeper.py
@@ -1,4 +1,4 @@
-"""What the sweepers of one table have in common."""
+"""Base class of the sweepers that process each row of a table independently."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class RowSweeper(abc.ABC):
-    """Brings each row of a shard forward on its own.
+    """Runs the retention steps that are due for each row of a shard.
 
-    :param calls: paced calls of the platform
-    :param policy: decides what is due
+    :param calls: rate-limited store calls
+    :param policy: decides which step is due
     """
 
     def __init__(
@@ -22,10 +22,10 @@
         self._policy = policy
 
     def sweep(self, shard: shards.Shard) -> None:
-        """Bring all rows of a shard forward as far as is due."""
+        """Run the steps that are due for all rows of a shard."""
         for row in self._calls.scan(shard):
             self.advance(row)
 
     @abc.abstractmethod
     def advance(self, row: store.Row) -> None:
-        """Bring a row forward until it is kept or somebody else acts."""
+        """Run the steps that are due for a row."""
--- a/src/endivevane/retention/shards.py
+++ b/src/endivevane/retention/shards.py
@@ -1,4 +1,4 @@
-"""Division of the tables into parts that are swept by one daemon each."""
+"""Partition of the tables into shards, each swept by one daemon."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from endivevane.coordination import register, rendezvous
 
 _HEX_DIGITS = "0123456789abcdef"
-_NAME_STARTS = "abcdefghijklmnopqrstuvwxyz0123456789"
+_NAME_FIRST_CHARACTERS = "abcdefghijklmnopqrstuvwxyz0123456789"
 _LAST_CHARACTER = "\U0010ffff"
-_TABLE_STARTS = {records.JOBS: "batch_", records.FILES: "file-"}
+_KEY_PREFIXES = {records.JOBS: "batch_", records.FILES: "file-"}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shard:
-    """The rows of a table whose key has a prefix.
+    """The rows of a table whose keys have a prefix.
 
-    :param skipped: prefixes of rows that belong to shards of their own
+    :param skipped: key prefixes that are covered by other shards
     """
 
     table: str
@@ -27,19 +27,25 @@
 
     @property
     def name(self) -> str:
-        """Table and prefix."""
+        """Table and key prefix."""
         return f"{self.table}/{self.prefix}"
 
-    def find_jump(self, key: str) -> str | None:
-        """Return the key after which the scan goes on if the row is skipped."""
+    def find_resume_key(self, key: str) -> str | None:
+        """Return the key after which the scan resumes, ``None`` for a row to sweep."""
         if not self.skipped:
             return None
-        start = _TABLE_STARTS.get(self.table)
-        if start is None:
-            group = key.partition("/")[0] + "/"
+        key_prefix = _KEY_PREFIXES.get(self.table)
+        if key_prefix is None:
+            organisation_prefix = key.partition("/")[0] + "/"
         else:
-            group = key[: len(start) + len(records.make_organisation_prefix(""))]
-        return group + _LAST_CHARACTER if group in self.skipped else None
+            organisation_prefix = key[
+                : len(key_prefix) + len(records.make_organisation_prefix(""))
+            ]
+        return (
+            organisation_prefix + _LAST_CHARACTER
+            if organisation_prefix in self.skipped
+            else None
+        )
 
 
 def list_shards(organisations: abc.Collection[str]) -> abc.Iterator[Shard]:
@@ -47,28 +53,30 @@
 
     The jobs and files of an organisation are spread over 16 shards, since a few
     organisations have most of them. Rows of organisations that are no longer in the
-    configuration are in the shards that skip those of all others.
+    configuration are covered by the shards that skip all known organisations.
     """
-    for table, start in _TABLE_STARTS.items():
-        groups = {
-            start + records.make_organisation_prefix(name) for name in organisations
+    for table, key_prefix in _KEY_PREFIXES.items():
+        organisation_prefixes = {
+            key_prefix + records.make_organisation_prefix(name)
+            for name in organisations
         }
-        for group in sorted(groups):
+        for organisation_prefix in sorted(organisation_prefixes):
             for digit in _HEX_DIGITS:
-                yield Shard(table, group + digit)
+                yield Shard(table, organisation_prefix + digit)
         for digit in _HEX_DIGITS:
-            yield Shard(table, start + digit, frozenset(groups))
+            yield Shard(table, key_prefix + digit, frozenset(organisation_prefixes))
     names = {f"{name}/" for name in organisations}
     for name in sorted(names):
         yield Shard(register.TABLE, name)
-    for character in _NAME_STARTS:
+    for character in _NAME_FIRST_CHARACTERS:
         yield Shard(register.TABLE, character, frozenset(names))
 
 
-def is_own(shard: Shard, daemon: str, members: abc.Collection[str]) -> bool:
-    """Tell whether a daemon sweeps a shard.
+def is_assigned(shard: Shard, daemon: str, members: abc.Collection[str]) -> bool:
+    """Return whether a shard is assigned to a daemon, by rendezvous hashing.
 
-    Two daemons with different views may both sweep it, which does no harm.
+    Daemons with different views of the membership may both sweep a shard, which is
+    safe.
     """
     weights = dict.fromkeys(members, 1.0)
     return rendezvous.choose_member(shard.name, weights) == daemon
