--- a/features/steps/upload_steps.py
+++ b/features/steps/upload_steps.py
@@ -108,7 +108,7 @@
 def step_check_taken(context, limit):
     # The kernel's receive buffer of the loopback holds up to some MiB besides.
     channels = list(context.server._server.active_channels.values())
-    held = sum(item.request.body_rcv._held_bytes for item in channels)
+    held = sum(item.request.body_rcv._buffered_bytes for item in channels)
     print(f"sent {context.sent}, held by the server {held}")
     assert 0 < held <= limit << 20, held
 
--- a/src/endivevane/web/app.py
+++ b/src/endivevane/web/app.py
@@ -1,4 +1,4 @@
-"""WSGI application that routes calls to the handlers of the daemon's parts."""
+"""WSGI application that routes requests to the handlers of the daemon."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One HTTP request on its way to a handler.
+    """An authenticated HTTP request, as it is passed to a handler.
 
-    :param arguments: values from the path
+    :param arguments: variables of the path
     :param owner: owner of the API key; ``None`` on public routes
     :param snapshot: configuration in force when the request arrived
     """
@@ -47,10 +47,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """A rule of werkzeug's syntax and its handler.
+    """A URL rule in werkzeug's syntax and its handler.
 
     :param role: role that the API key must have; ``None`` for public routes
-    :param max_body_bytes: limit of the body; ``None`` for the daemon's default
+    :param max_body_bytes: largest body; ``None`` for the daemon's default
     """
 
     method: str
@@ -61,11 +61,11 @@
 
 
 class Application:
-    """Routes, authenticates and turns errors into JSON answers.
+    """Routes and authenticates requests, and turns errors into JSON responses.
 
     :param routes: all routes of the daemon
     :param get_snapshot: returns the configuration in force
-    :param max_body_bytes: default limit of a body
+    :param max_body_bytes: largest body of routes without a limit of their own
     """
 
     def __init__(
@@ -139,7 +139,7 @@
                 f"{request.method} is not allowed on {request.path}"
             ) from error
         except werkzeug.exceptions.HTTPException as error:
-            raise errors.NotFound(f"there is no {request.path}") from error
+            raise errors.NotFound(f"no such path: {request.path}") from error
         return typing.cast("Route", endpoint), dict(arguments)
 
     def _record_refusal(
@@ -166,11 +166,11 @@
 ) -> snapshot.KeyOwner:
     """Return the owner of the request's API key.
 
-    Keys are random and long, so their plain SHA-256 digest is stored and a look-up by
-    digest reveals nothing useful through its timing.
+    Keys are long and random, so an unsalted SHA-256 digest is stored, and the timing of
+    a look-up by digest reveals nothing useful.
 
     :raises errors.AuthenticationFailed: when the key is missing or unknown
-    :raises errors.PermissionDenied: when its role does not fit
+    :raises errors.PermissionDenied: when the key has another role
     """
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key:
@@ -185,7 +185,7 @@
 
 
 def read_json(call: Call) -> dict[str, typing.Any]:
-    """Return the body as a JSON object.
+    """Return the request body as a JSON object.
 
     :raises errors.InvalidRequest: when it is not one
     """
@@ -208,7 +208,7 @@
 
 
 def make_error_response(error: errors.ApiError) -> werkzeug.wrappers.Response:
-    """Return the response of a refusal or failure."""
+    """Return the JSON response for an error."""
     return werkzeug.wrappers.Response(
         error.encode_body(),
         status=error.status,
--- a/src/endivevane/web/channel.py
+++ b/src/endivevane/web/channel.py
@@ -1,4 +1,4 @@
-"""Waitress's connection, parser and tasks, adapted to this server."""
+"""Subclasses of waitress's channel, parser and tasks for this server."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 _BaseTask: typing.Any = waitress.task.WSGITask
 _BaseChannel: typing.Any = waitress.channel.HTTPChannel
 
-# How long a connection is read and discarded after an early error answer. Closing it
-# with unread data would reset it, and the caller could lose the answer.
-_DISCARD_S = 2.0
+# Lingering close: how long input is read and discarded after an early error response.
+# Closing a connection with unread data resets it, and the client may lose the response.
+_LINGER_TIMEOUT_S = 2.0
 
 
 class HeadersTooLarge(errors.InvalidRequest):
-    """The request line and the headers are larger than the limit."""
+    """The request line and the headers exceed the limit."""
 
     status, code = 431, "headers_too_large"
 
@@ -40,7 +40,7 @@
 
 
 class RequestTimeout(errors.InvalidRequest):
-    """The caller took too long to send its request."""
+    """The client took too long to send its request."""
 
     status, code = 408, "request_timeout"
 
@@ -55,30 +55,30 @@
 
 
 class _ReceiveTimeout(waitress.utilities.Error):
-    """Waitress's form of :class:`RequestTimeout`."""
+    """Waitress's equivalent of :class:`RequestTimeout`."""
 
     code = 408
     reason = "Request Timeout"
 
 
 class Adjustments(_BaseAdjustments):  # type: ignore[misc]
-    """Waitress's settings with a smaller body limit outside the upload paths."""
+    """Waitress's settings with a lower body limit outside the upload paths."""
 
-    small: Adjustments
+    non_upload: Adjustments
     upload_paths: tuple[str, ...] = ()
 
     def set_body_limit(self, limit_bytes: int, upload_paths: tuple[str, ...]) -> None:
-        """Limit bodies on all other paths.
+        """Set the body limit of all paths but the upload paths.
 
-        :param limit_bytes: first size that is refused
+        :param limit_bytes: smallest size that is rejected
         """
         self.upload_paths = upload_paths
-        self.small = copy.copy(self)
-        self.small.max_request_body_size = limit_bytes
+        self.non_upload = copy.copy(self)
+        self.non_upload.max_request_body_size = limit_bytes
 
     def for_path(self, path: str) -> Adjustments:
         """Return the settings that apply to a path."""
-        return self if path.rstrip("/") in self.upload_paths else self.small
+        return self if path.rstrip("/") in self.upload_paths else self.non_upload
 
 
 class Parser(_BaseParser):  # type: ignore[misc]
@@ -89,8 +89,8 @@
     def parse_header(self, header_plus: bytes) -> None:
         """Parse the request line and the headers.
 
-        The library lets the errors of URL and number parsing through, which would
-        close the connection without an answer.
+        Waitress does not handle errors of URL and number parsing, which would close the
+        connection without a response.
         """
         try:
             super().parse_header(header_plus)
@@ -100,27 +100,27 @@
 
 
 class ErrorTask(_BaseErrorTask):  # type: ignore[misc]
-    """Answers a request that could not be parsed, in the JSON shape."""
+    """Responds with a JSON error to a request that could not be parsed."""
 
     def execute(self) -> None:
-        """Write the error and close the connection."""
-        problem = self.request.error
-        kind = _ERRORS.get(problem.code)
-        if kind is None:
+        """Write the error response and close the connection."""
+        parsing_error = self.request.error
+        error_class = _ERRORS.get(parsing_error.code)
+        if error_class is None:
             error = errors.ApiError(
                 "internal error; see the daemon's log",
                 run_state=types.RunState.MAY_HAVE_RUN,
             )
         else:
-            error = kind(f"{problem.reason}: {problem.body}")
+            error = error_class(f"{parsing_error.reason}: {parsing_error.body}")
         body = error.encode_body()
-        self.status = f"{error.status} {problem.reason}"
+        self.status = f"{error.status} {parsing_error.reason}"
         self.response_headers = [
             ("Content-Type", "application/json"),
             (app.REQUEST_ID_HEADER, utils.make_id("req")),
             *error.make_headers().items(),
         ]
-        self.channel.must_discard = True
+        self.channel.must_linger = True
         self.set_close_on_finish()
         self.content_length = len(body)
         self.write(body)
@@ -130,26 +130,26 @@
     """Runs the application for one request."""
 
     def get_environment(self) -> dict[str, typing.Any]:
-        """Return the WSGI environment with the connection in it."""
+        """Return the WSGI environment with the channel in it."""
         environ: dict[str, typing.Any] = super().get_environment()
         environ[app.CHANNEL_KEY] = self.channel
         return environ
 
     def build_response_header(self) -> bytes:
-        """Return the head of the answer; it announces the close during a stop."""
+        """Return the response head, with ``Connection: close`` during a drain."""
         if self.channel.server.is_draining:
             self.request.headers["CONNECTION"] = "close"
         head: bytes = super().build_response_header()
         return head
 
     def write(self, data: bytes) -> None:
-        """Write to the caller, unless its socket was detached."""
+        """Write to the client, unless its socket was detached."""
         if self.channel.is_detached:
             return
         super().write(data)
 
     def finish(self) -> None:
-        """End the answer; a detached connection is not used again."""
+        """Finish the response; a detached connection is not used again."""
         if self.channel.is_detached:
             self.close_on_finish = True
             return
@@ -157,7 +157,7 @@
 
 
 class Channel(_BaseChannel):  # type: ignore[misc]
-    """One caller's connection while waitress owns it."""
+    """A client connection that waitress owns."""
 
     connected: bool
     request: typing.Any
@@ -169,21 +169,21 @@
     parser_class = Parser
 
     is_detached = False
-    must_discard = False
-    discard_until: float | None = None
+    must_linger = False
+    linger_until: float | None = None
     request_started: float | None = None
 
-    def release_socket(self) -> socket.socket | None:
-        """Give up the socket; called by a worker while its request is in progress.
+    def detach_socket(self) -> socket.socket | None:
+        """Detach the socket; called by a worker while its request is in progress.
 
-        Waitress polls no connection whose request is in progress, so its loop does
-        not hold the descriptor. The lock waits for the loop to leave ``received``.
+        Waitress polls no connection whose request is in progress, so its event loop
+        does not use the descriptor. The lock waits for the loop to leave ``received``.
 
-        :return: the socket; ``None`` when the connection is closed or the caller has
-            not read an earlier answer
+        :return: the socket; ``None`` when the connection is closed or the client has
+            not read an earlier response
         """
         with self.outbuf_lock:
-            # An answer to an earlier request on the connection goes first.
+            # The response to an earlier request on the connection must go out first.
             self._flush_exception(self._flush_some, do_close=False)
         with self.requests_lock:
             sock: socket.socket | None = self.socket
@@ -196,7 +196,7 @@
             return sock
 
     def received(self, data: bytes) -> bool:
-        """Take in data from the caller."""
+        """Process data from the client."""
         if self.request_started is None:
             self.request_started = self.last_activity
         outcome: bool = super().received(data)
@@ -205,28 +205,28 @@
         return outcome
 
     def readable(self) -> bool:
-        """Return whether the loop should read.
+        """Return whether the event loop should read.
 
-        A detached descriptor may be closed and used again by another connection while
-        the loop waits, so it must never be polled.
+        A detached descriptor may be closed and reused by another connection while the
+        loop waits, so it must never be polled.
         """
         if self.is_detached:
             return False
-        if self.discard_until is not None:
+        if self.linger_until is not None:
             return True
         return bool(super().readable())
 
     def writable(self) -> bool:
-        """Return whether the loop should write or close."""
+        """Return whether the event loop should write or close."""
         if self.is_detached:
             return False
-        if self.discard_until is not None:
+        if self.linger_until is not None:
             return bool(self.will_close)
         return bool(super().writable())
 
     def handle_read(self) -> None:
-        """Read from the caller; discard after an early error answer."""
-        if self.discard_until is None:
+        """Read from the client; discard the data during a lingering close."""
+        if self.linger_until is None:
             super().handle_read()
             return
         try:
@@ -237,32 +237,32 @@
             self.handle_close()
 
     def handle_close(self) -> None:
-        """Close the connection, after an early error answer in two steps."""
-        if self.must_discard and self.discard_until is None and self.connected:
+        """Close the connection, with a lingering close after an early error."""
+        if self.must_linger and self.linger_until is None and self.connected:
             try:
                 self.socket.shutdown(socket.SHUT_WR)
             except OSError:
-                self.must_discard = False
+                self.must_linger = False
             else:
                 self.will_close = False
-                self.discard_until = self.last_activity + _DISCARD_S
+                self.linger_until = self.last_activity + _LINGER_TIMEOUT_S
                 return
         super().handle_close()
 
     def check_limits(self, now: float) -> None:
-        """Close the connection when a time limit has passed.
+        """Close the connection when a timeout has passed.
 
         :param now: wall time, as in ``last_activity``
         """
         settings = self.server.settings
         if self.is_detached:
             return
-        if self.discard_until is not None:
-            self.will_close = self.will_close or now >= self.discard_until
+        if self.linger_until is not None:
+            self.will_close = self.will_close or now >= self.linger_until
             return
         started = self.request_started
         if started is not None and now - started > settings.receive_timeout_s:
-            self._refuse_slow_request()
+            self._reject_slow_request()
             return
         limit_s = settings.idle_timeout_s
         if self.server.is_draining and not self.total_outbufs_len:
@@ -271,8 +271,8 @@
         if is_waiting and now - self.last_activity > limit_s:
             self.will_close = True
 
-    def _refuse_slow_request(self) -> None:
-        """Answer a request that takes too long to arrive."""
+    def _reject_slow_request(self) -> None:
+        """Respond with an error to a request that takes too long to arrive."""
         with self.requests_lock:
             request = self.request
             if request is None or self.requests:
--- a/src/endivevane/web/errors.py
+++ b/src/endivevane/web/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the HTTP interface, in the JSON shape of the OpenAI HTTP API."""
+"""Errors of the HTTP interface, in the JSON format of the OpenAI HTTP API."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class ApiError(exceptions.EndivevaneError):
-    """A request is refused or has failed.
+    """A request was rejected or has failed.
 
-    :param message: text for people, which says what to do next
-    :param param: name of the parameter that is wrong
+    :param message: human-readable message that says what to do next
+    :param param: name of the invalid parameter
     :param run_state: whether this HTTP request was run by a target
-    :param retry_after_s: when a later try can succeed
+    :param retry_after_s: time after which a retry can succeed
     """
 
     status = 500
@@ -36,7 +36,7 @@
         self.retry_after_s = retry_after_s
 
     def format_message(self) -> str:
-        """Return the text for people."""
+        """Return the human-readable message."""
         return self.message
 
     def encode_body(self) -> bytes:
@@ -53,7 +53,7 @@
         }
 
     def make_headers(self) -> dict[str, str]:
-        """Return the headers that every refusal and failure carries."""
+        """Return the headers of the error response."""
         headers = {"X-Run-State": self.run_state.value}
         if self.retry_after_s is not None:
             headers["Retry-After"] = str(max(1, math.ceil(self.retry_after_s)))
@@ -79,7 +79,7 @@
 
 
 class NotFound(ApiError):
-    """The named thing does not exist."""
+    """The requested resource does not exist."""
 
     status, kind, code = 404, "invalid_request_error", "not_found"
 
@@ -97,13 +97,13 @@
 
 
 class Conflict(ApiError):
-    """The request contradicts the state of what it names."""
+    """The request conflicts with the state of the resource."""
 
     status, kind, code = 409, "invalid_request_error", "conflict"
 
 
 class Expired(ApiError):
-    """The named thing existed and was deleted at the end of its retention period."""
+    """The resource existed and was deleted at the end of its retention period."""
 
     status, kind, code = 410, "invalid_request_error", "expired"
 
@@ -151,7 +151,7 @@
 
 
 class TargetFailed(ApiError):
-    """The attempts at the request have failed."""
+    """All attempts to run the request have failed."""
 
     status, kind, code = 502, "server_error", "target_failed"
 
--- a/src/endivevane/web/request_headers.py
+++ b/src/endivevane/web/request_headers.py
@@ -1,4 +1,4 @@
-"""Headers that callers send with any kind of request."""
+"""Parsing of headers that are common to all kinds of requests."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def read_deadline_s(request: werkzeug.wrappers.Request, default_s: float) -> float:
-    """Return the time that a request has, from ``X-Deadline-Ms`` or a default.
+    """Return the time until the deadline, from ``X-Deadline-Ms`` or a default.
 
-    :raises errors.ApiError: when the header is no number or the time is over
+    :raises errors.ApiError: when the header is invalid or the deadline has passed
     """
     text = request.headers.get("X-Deadline-Ms")
     if text is None:
         return default_s
     digits = text.strip()
-    negative = digits.startswith("-")
+    is_negative = digits.startswith("-")
     digits = digits.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) <= 18):
         raise errors.InvalidRequest(
@@ -27,7 +27,7 @@
             param="X-Deadline-Ms",
         )
     deadline_ms = int(digits)
-    if negative or deadline_ms == 0:
+    if is_negative or deadline_ms == 0:
         raise errors.DeadlineExceeded(
             "the deadline in X-Deadline-Ms has passed", param="X-Deadline-Ms"
         )
@@ -39,7 +39,7 @@
 
 
 def read_idempotency_key(request: werkzeug.wrappers.Request) -> str | None:
-    """Return ``Idempotency-Key``, ``None`` when there is none.
+    """Return ``Idempotency-Key``; ``None`` when it is missing.
 
     :raises errors.InvalidRequest: when it is empty, too long or not printable
     """
--- a/src/endivevane/web/server.py
+++ b/src/endivevane/web/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: waitress with JSON errors, a planned stop and detachable sockets."""
+"""The HTTP server: waitress with JSON errors, draining and detachable sockets."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from endivevane import exceptions, logs, types
 from endivevane.web import app, channel, upload_body
 
-# The kernel would grow the send buffer of a slow caller to 4 MB, for each of some
-# thousand streams; this is enough for 6 MB/s over a round trip of 40 ms.
+# The kernel would grow the send buffer of a slow client to 4 MB, for each of some
+# thousand streams; this size allows 6 MB/s at a round-trip time of 40 ms.
 _SEND_BUFFER_BYTES = 128 << 10
-# A caller's machine that has vanished acknowledges nothing and closes nothing.
-_USER_TIMEOUT_S = 30.0
-# How often connections are looked at during a planned stop.
-_DRAIN_WAIT_S = 0.2
+# A client machine that has gone down neither acknowledges data nor closes connections.
+_TCP_USER_TIMEOUT_S = 30.0
+# How often connections are checked during a drain.
+_DRAIN_POLL_INTERVAL_S = 0.2
 
 # The type stubs of waitress lack most attributes of this class.
 _BaseServer: typing.Any = waitress.server.TcpWSGIServer
@@ -34,20 +34,20 @@
 
 
 class NotDetachable(exceptions.EndivevaneError):
-    """The request did not come through this server or its caller is gone."""
+    """The socket of the request can't be detached from waitress."""
 
     def format_message(self) -> str:
-        """Return what is missing."""
-        return "the caller is gone or has not read an earlier answer"
+        """Return the reason."""
+        return "the client has disconnected or has not read an earlier response"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DetachedCaller:
-    """A caller's connection that waitress no longer owns.
+    """A client connection that waitress no longer owns.
 
     :param sock: non-blocking socket; the request has been read from it
-    :param host: IP number of the caller
-    :param is_http11: whether the caller accepts chunked transfer encoding
+    :param host: IP address of the client
+    :param is_http11: whether the client accepts chunked transfer encoding
     """
 
     sock: socket.socket
@@ -57,19 +57,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """Limits of the HTTP server.
+    """Address and limits of the HTTP server.
 
-    :param listen: address for callers; port 0 chooses a free one
+    :param listen: address to listen on; port 0 chooses a free one
     :param worker_threads: threads that run handlers
     :param max_connections: connections that waitress owns at a time
-    :param max_body_bytes: largest body
+    :param max_body_bytes: largest body, except on the upload paths
     :param max_upload_bytes: largest body on the upload paths
-    :param upload_paths: paths whose bodies may be as large as an upload
+    :param upload_paths: paths to which ``max_upload_bytes`` applies
     :param idle_timeout_s: a connection without a request in progress, or whose
-        answer makes no progress, is closed after this time
-    :param receive_timeout_s: limit for receiving one whole request
-    :param drain_idle_s: how long an idle connection stays open during a planned
-        stop, so that a request already on its way is still answered
+        response makes no progress, is closed after this time
+    :param receive_timeout_s: timeout for receiving one complete request
+    :param drain_idle_s: how long an idle connection stays open during a drain, so
+        that a request already in transit is still answered
     """
 
     listen: types.Address
@@ -85,32 +85,33 @@
 
 
 def detach(environ: dict[str, typing.Any]) -> DetachedCaller:
-    """Take the caller's socket away from waitress.
+    """Detach the client's socket from waitress.
 
     Afterwards waitress neither reads, writes nor closes the socket, and the response
     that the handler returns is not written.
 
     :param environ: WSGI environment of the request in progress
-    :raises NotDetachable: when the caller is gone or has not read an earlier answer
+    :raises NotDetachable: when the request did not come through this server, or the
+        client has disconnected or has not read an earlier response
     """
-    owner = environ.get(app.CHANNEL_KEY)
-    if not isinstance(owner, channel.Channel):
+    client_channel = environ.get(app.CHANNEL_KEY)
+    if not isinstance(client_channel, channel.Channel):
         raise NotDetachable()
-    sock = owner.release_socket()
+    sock = client_channel.detach_socket()
     if sock is None:
         raise NotDetachable()
-    # A connection that is broken already is noticed by whoever uses it next.
+    # The next read or write detects a connection that is already broken.
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, _SEND_BUFFER_BYTES)
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(_USER_TIMEOUT_S * 1000)
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(_TCP_USER_TIMEOUT_S * 1000)
         )
     is_http11 = environ.get("SERVER_PROTOCOL") == "HTTP/1.1"
     return DetachedCaller(sock, environ.get("REMOTE_ADDR", ""), is_http11)
 
 
 class HttpServer:
-    """Runs the HTTP server on a thread of its own.
+    """Runs the HTTP server in its own thread.
 
     :param settings: address and limits
     :param application: WSGI application
@@ -126,13 +127,13 @@
         )
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start the workers and the server's thread."""
         self._dispatcher.set_thread_count(self._settings.worker_threads)
         self._thread.start()
 
     def begin_drain(self) -> None:
-        """Accept no new connection and answer with ``Connection: close``."""
-        self._server.pull_trigger_with(self._server.begin_drain)
+        """Accept no new connection and respond with ``Connection: close``."""
+        self._server.call_on_loop(self._server.begin_drain)
 
     def drain(self, deadline_s: float) -> bool:
         """Wait until every request that waitress owns is answered or detached.
@@ -145,7 +146,7 @@
 
     def stop(self) -> None:
         """Close all connections and end the threads."""
-        self._server.pull_trigger_with(self._server.request_stop)
+        self._server.call_on_loop(self._server.request_stop)
         self._thread.join(timeout=10.0)
         self._dispatcher.shutdown(timeout=5)
 
@@ -156,11 +157,11 @@
             except Exception as error:
                 logs.error("http_loop_failed", error=repr(error))
                 time.sleep(0.05)
-        self._server.close_everything()
+        self._server.close_all()
 
 
 class _Server(_BaseServer):  # type: ignore[misc]
-    """Waitress's server with drain, stop and stricter time limits."""
+    """Waitress's server with draining, stopping and stricter timeouts."""
 
     socket: typing.Any
     channel_class = upload_body.UploadChannel
@@ -178,27 +179,31 @@
         self.drained = threading.Event()
         super().__init__(application, {}, dispatcher=dispatcher, adj=adjustments)
 
-    def pull_trigger_with(self, function: abc.Callable[[], None]) -> None:
+    def call_on_loop(self, function: abc.Callable[[], None]) -> None:
         """Run a function on the server's thread."""
         if not self.is_stopped:
             self.trigger.pull_trigger(function)
 
     def run_once(self) -> None:
         """Wait for events once and handle them."""
-        wait_s = _DRAIN_WAIT_S if self.is_draining else self.adj.asyncore_loop_timeout
+        wait_s = (
+            _DRAIN_POLL_INTERVAL_S
+            if self.is_draining
+            else self.adj.asyncore_loop_timeout
+        )
         self.asyncore.poll2(wait_s, self._map)
         if not self.is_draining:
             return
-        # The closed listening socket no longer triggers the maintenance.
+        # Waitress calls this only while the listening socket is open.
         self.maintenance(time.time())
         if not self.active_channels:
             self.drained.set()
 
     def begin_drain(self) -> None:
-        """Stop accepting; connections that the kernel already accepted are served."""
+        """Stop accepting; connections already in the accept queue are served."""
         if self.is_draining:
             return
-        while self._has_pending_connection():
+        while self._accept_pending():
             self.handle_accept()
         self.is_draining = True
         self.accepting = False
@@ -207,10 +212,10 @@
         self.socket = None
 
     def request_stop(self) -> None:
-        """End the loop after the current round."""
+        """End the event loop after the current iteration."""
         self.is_stopped = True
 
-    def close_everything(self) -> None:
+    def close_all(self) -> None:
         """Close every socket that the server still owns."""
         for item in list(self._map.values()):
             if item is not self.trigger:
@@ -221,19 +226,19 @@
     def maintenance(self, now: float) -> None:
         """Close idle, stalled and slow connections.
 
-        Works on a copy, because workers remove the channels that they detach.
+        Iterates over a copy, because workers remove the channels that they detach.
         """
         for item in list(self.active_channels.values()):
             item.check_limits(now)
 
-    def _has_pending_connection(self) -> bool:
+    def _accept_pending(self) -> bool:
         before = len(self.active_channels)
         self.handle_accept()
         return len(self.active_channels) > before
 
 
 def _make_adjustments(settings: ServerSettings) -> channel.Adjustments:
-    # Waitress refuses a body that is as large as its limit, hence one byte more.
+    # Waitress rejects a body that is as large as its limit, hence one byte more.
     adjustments = channel.Adjustments(
         host=settings.listen.host,
         port=settings.listen.port,
@@ -241,7 +246,7 @@
         connection_limit=settings.max_connections,
         max_request_header_size=settings.max_header_bytes,
         max_request_body_size=settings.max_upload_bytes + 1,
-        # Below the 1 MB at which waitress moves an answer to a temporary file.
+        # Below the 1 MB at which waitress spools a response to a temporary file.
         outbuf_high_watermark=512 << 10,
         channel_timeout=max(1, int(settings.idle_timeout_s)),
         cleanup_interval=1,
--- a/src/endivevane/web/upload_body.py
+++ b/src/endivevane/web/upload_body.py
@@ -1,7 +1,7 @@
-"""Bodies of uploads that reach their handler while they arrive.
+"""Streaming of upload bodies to their handler while they arrive.
 
-Waitress receives a whole body before it calls the application and moves what is larger
-than 512 KB to a temporary file. VMs have no disks, and an upload may have 200 MB.
+Waitress receives a complete body before it calls the application and spools bodies over
+512 KB to a temporary file. VMs have no disks, and an upload may have 200 MB.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 from endivevane.web import channel
 
-# Enough for some round trips of the object store between two reads of the handler.
-_ROOM_BYTES = 256 << 10
+# Covers several round trips to the object store between two reads of the handler.
+_BUFFER_BYTES = 256 << 10
 _READ_TIMEOUT_S = 60.0
 
 
 class BodyPipe:
-    """A bounded buffer between the server's loop and the worker that reads the body.
+    """A bounded buffer between the event loop and the worker that reads the body.
 
-    Takes the place of waitress's receiver of a body, whose interface it has.
+    Replaces waitress's body receiver and has the same interface.
 
     :param size_bytes: length of the body
     """
@@ -32,11 +32,11 @@
     error = None
 
     def __init__(self, size_bytes: int) -> None:
-        self.wake: abc.Callable[[], None] = _do_nothing
+        self.resume_reading: abc.Callable[[], None] = _do_nothing
         self._size_bytes = size_bytes
-        self._left_bytes = size_bytes
+        self._remaining_bytes = size_bytes
         self._parts: collections.deque[bytes] = collections.deque()
-        self._held_bytes = 0
+        self._buffered_bytes = 0
         self._is_closed = False
         self._is_aborted = False
         self._changed = threading.Condition()
@@ -47,26 +47,26 @@
     @property
     def completed(self) -> bool:
         """Whether the whole body has arrived."""
-        return self._left_bytes == 0
+        return self._remaining_bytes == 0
 
     @property
     def has_room(self) -> bool:
-        """Whether the loop should read more from the caller."""
-        return self._is_closed or self._held_bytes < _ROOM_BYTES
+        """Whether the event loop should read more from the client."""
+        return self._is_closed or self._buffered_bytes < _BUFFER_BYTES
 
     def received(self, data: bytes) -> int:
-        """Take bytes of the body; called by the loop."""
-        taken = data[: self._left_bytes]
+        """Append bytes of the body; called by the event loop."""
+        accepted = data[: self._remaining_bytes]
         with self._changed:
-            self._left_bytes -= len(taken)
+            self._remaining_bytes -= len(accepted)
             if not self._is_closed:
-                self._parts.append(bytes(taken))
-                self._held_bytes += len(taken)
+                self._parts.append(bytes(accepted))
+                self._buffered_bytes += len(accepted)
             self._changed.notify()
-        return len(taken)
+        return len(accepted)
 
     def abort(self) -> None:
-        """Note that the caller is gone."""
+        """Record that the client has disconnected."""
         with self._changed:
             self._is_aborted = not self.completed
             self._changed.notify()
@@ -74,10 +74,11 @@
     def read(self, size: int = -1) -> bytes:
         """Return the next bytes, empty at the end of the body; called by the worker.
 
-        :raises werkzeug.exceptions.ClientDisconnected: when the rest does not come
+        :raises werkzeug.exceptions.ClientDisconnected: when the client disconnects or
+            sends nothing within the timeout
         """
         parts: list[bytes] = []
-        while size < 0 and (part := self._read_some(_ROOM_BYTES)):
+        while size < 0 and (part := self._read_some(_BUFFER_BYTES)):
             parts.append(part)
         return b"".join(parts) if size < 0 else self._read_some(size)
 
@@ -86,16 +87,16 @@
         return self
 
     def getbuf(self) -> BodyPipe:
-        """Return what waitress closes after the request."""
+        """Return the object that waitress closes after the request."""
         return self
 
     def close(self) -> None:
-        """Drop what has not been read."""
+        """Discard the data that has not been read."""
         with self._changed:
             self._is_closed = True
             self._parts.clear()
-            self._held_bytes = 0
-        self.wake()
+            self._buffered_bytes = 0
+        self.resume_reading()
 
     def _read_some(self, size: int) -> bytes:
         with self._changed:
@@ -109,10 +110,10 @@
                 self._parts.appendleft(part[size:])
                 part = part[:size]
             was_full = not self.has_room
-            self._held_bytes -= len(part)
+            self._buffered_bytes -= len(part)
             has_room = was_full and self.has_room
         if has_room:
-            self.wake()
+            self.resume_reading()
         return part
 
     def _can_read(self) -> bool:
@@ -120,7 +121,7 @@
 
 
 class UploadParser(channel.Parser):
-    """Gives uploads of known length a pipe as the receiver of their body."""
+    """Receives the bodies of uploads of known length through a pipe."""
 
     is_dispatched = False
     body_rcv: typing.Any
@@ -134,7 +135,7 @@
 
     @property
     def pipe(self) -> BodyPipe | None:
-        """The pipe of an upload that has not arrived as a whole."""
+        """The pipe of an upload that has not arrived completely."""
         body = self.body_rcv
         if isinstance(body, BodyPipe) and not body.completed:
             return body
@@ -142,36 +143,36 @@
 
 
 class UploadTask(channel.Task):
-    """Closes the connection when an upload is answered before its end."""
+    """Closes the connection when the response starts before the upload has ended."""
 
     def build_response_header(self) -> bytes:
-        """Return the head of the answer."""
+        """Return the response head."""
         if isinstance(self.request, UploadParser) and self.request.pipe is not None:
-            self.channel.must_discard = True
+            self.channel.must_linger = True
             self.request.headers["CONNECTION"] = "close"
         return super().build_response_header()
 
 
 class UploadChannel(channel.Channel):
-    """Starts the handler of an upload as soon as its headers have arrived."""
+    """Dispatches an upload to its handler as soon as its headers have arrived."""
 
     task_class = UploadTask
     parser_class = UploadParser
 
     def received(self, data: bytes) -> bool:
-        """Take in data from the caller."""
+        """Process data from the client."""
         outcome = super().received(data)
         request = self.request
         if not isinstance(request, UploadParser) or request.pipe is None:
             return outcome
-        # The time limit counts from the last data: an upload may take minutes.
+        # The timeout runs from the last data received: an upload may take minutes.
         self.request_started = self.last_activity
         if request.headers_finished and not request.is_dispatched:
             self._dispatch(request, request.pipe)
         return outcome
 
     def readable(self) -> bool:
-        """Return whether the loop should read."""
+        """Return whether the event loop should read."""
         pipe = self._get_open_pipe()
         if pipe is None:
             return super().readable()
@@ -185,9 +186,9 @@
             request.pipe.abort()
 
     def _dispatch(self, request: UploadParser, pipe: BodyPipe) -> None:
-        pipe.wake = self._wake_loop
+        pipe.resume_reading = self._wake_loop
         request.is_dispatched = True
-        # Waitress would queue the request a second time at its end, unless empty.
+        # Unless it is empty, waitress queues the request again when it is complete.
         request.empty = True
         with self.requests_lock:
             self.requests.append(request)
@@ -201,7 +202,7 @@
 
     def _get_open_pipe(self) -> BodyPipe | None:
         is_closing = self.will_close or self.close_when_flushed
-        if self.is_detached or is_closing or self.discard_until is not None:
+        if self.is_detached or is_closing or self.linger_until is not None:
             return None
         request = self.request
         if isinstance(request, UploadParser) and request.is_dispatched:
@@ -210,4 +211,4 @@
 
 
 def _do_nothing() -> None:
-    """Stand for the wake-up while nobody reads."""
+    """Do nothing; callback of a pipe before its request is dispatched."""
