--- a/src/endivevane/ctl/__init__.py
+++ b/src/endivevane/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool for operators."""
+"""The operators' command-line tool, ``endivevanectl``."""
--- a/src/endivevane/ctl/client.py
+++ b/src/endivevane/ctl/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the command towards the daemons."""
+"""HTTP client for the daemons' API."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 _READ_BYTES = 1 << 16
 
 
-class NoDaemonAnswers(exceptions.EndivevaneError):
+class NoDaemonReachable(exceptions.EndivevaneError):
     """None of the daemons in the settings can be reached.
 
-    :param attempts: one line per daemon that was tried
+    :param attempts: address and error of each daemon that was tried
     """
 
     def __init__(self, attempts: list[str]) -> None:
@@ -24,16 +24,16 @@
         self.attempts = attempts
 
     def format_message(self) -> str:
-        """Return what was tried and what to do next."""
+        """Return the failed attempts, or the setting that is missing."""
         if not self.attempts:
             return "no daemon address: set 'daemons' in the settings file"
-        return "no daemon answers: " + "; ".join(self.attempts)
+        return "no daemon can be reached: " + "; ".join(self.attempts)
 
 
 class CallFailed(exceptions.EndivevaneError):
-    """A daemon answered with an error.
+    """A daemon returned an error response.
 
-    :param run_state: whether the call was run, as the daemon says
+    :param run_state: whether the call was run, as reported by the daemon
     """
 
     def __init__(self, status: int, message: str, run_state: str) -> None:
@@ -48,7 +48,7 @@
 
 
 class DaemonClient:
-    """Calls the first daemon that answers.
+    """Sends calls to the first daemon that can be reached.
 
     :param ctl_settings: addresses and timeout
     :param key: API key
@@ -65,10 +65,10 @@
         body: bytes | None = None,
         headers: abc.Mapping[str, str] | None = None,
     ) -> typing.Any:
-        """Send a call and return the decoded JSON answer.
+        """Send a call and return the decoded JSON response.
 
-        :raises CallFailed: when the daemon answers with an error
-        :raises NoDaemonAnswers: when no daemon can be reached
+        :raises CallFailed: when the daemon returns an error
+        :raises NoDaemonReachable: when no daemon can be reached
         """
         data = b"".join(self.stream(method, path, body, headers))
         return utils.decode_json(data) if data else {}
@@ -80,7 +80,7 @@
         body: bytes | None = None,
         headers: abc.Mapping[str, str] | None = None,
     ) -> abc.Iterator[bytes]:
-        """Send a call and yield the body of the answer in parts."""
+        """Send a call and yield the response body in parts."""
         response = self._open(method, path, body, headers)
         if response.status >= 400:
             raise _make_failure(response)
@@ -99,8 +99,8 @@
     ) -> http.client.HTTPResponse:
         attempts: list[str] = []
         all_headers = {"Authorization": f"Bearer {self._key}", **(headers or {})}
-        for text in self._settings.daemons:
-            address = types.parse_address(text)
+        for address_text in self._settings.daemons:
+            address = types.parse_address(address_text)
             timeout_s = self._settings.timeout_s
             try:
                 connection = http_pool.open_connection(address, timeout_s, timeout_s)
@@ -109,7 +109,7 @@
                 return connection.getresponse()
             except (OSError, http.client.HTTPException) as error:
                 attempts.append(f"{address}: {error}")
-        raise NoDaemonAnswers(attempts)
+        raise NoDaemonReachable(attempts)
 
 
 def _make_failure(response: http.client.HTTPResponse) -> CallFailed:
--- a/src/endivevane/ctl/config_commands.py
+++ b/src/endivevane/ctl/config_commands.py
@@ -1,4 +1,4 @@
-"""Commands that check and publish configuration: validate, diff, publish, schema."""
+"""Configuration commands: validate, diff, publish and schema."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 _CONFIRM_POLL_S = 0.5
 
 
-class NoTableService(exceptions.EndivevaneError):
-    """The settings name no table service."""
+class MissingTableService(exceptions.EndivevaneError):
+    """The settings have no address of the table service."""
 
     def format_message(self) -> str:
-        """Return what to do next."""
+        """Return the setting that is missing."""
         return "set 'table_service' in the settings file (--config FILE)"
 
 
@@ -44,7 +44,7 @@
         action="append",
         default=[],
         metavar="ZONE",
-        help="do not wait for this zone to confirm; it applies the change on return",
+        help="do not wait for this zone; it applies the change when it is back",
     )
     publish.add_argument(
         "--wait-s",
@@ -72,7 +72,7 @@
 def run_validate(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Check files without any other system."""
+    """Check files locally, without the table service or a daemon."""
     documents = loading.load_files(loading.collect_files(arguments.paths))
     rows = [{"key": key, "file": item.file} for key, item in sorted(documents.items())]
     if arguments.output == "json":
@@ -85,7 +85,7 @@
 def run_schema(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the JSON schema that editors use."""
+    """Print the JSON schema of the files, for editors."""
     schema = models.DOCUMENT_ADAPTER.json_schema()
     sys.stdout.write(json.dumps(schema, indent=2, sort_keys=True) + "\n")
     return exits.Exit.OK
@@ -94,7 +94,7 @@
 def run_diff(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Show the change between the files and what is in force."""
+    """Show the difference between the files and the configuration in force."""
     change = _load_change(arguments)
     fetched = publishing.fetch_changes(open_store(ctl_settings))
     if isinstance(fetched, result.Err):
@@ -107,14 +107,14 @@
     for key in keys:
         sys.stdout.writelines(_format_diff(key, change, base))
     if not keys:
-        output.print_note(f"no difference to revision {base.revision}")
+        output.print_note(f"no difference from revision {base.revision}")
     return exits.Exit.OK
 
 
 def run_publish(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Put the files into force and wait until the zones have confirmed."""
+    """Publish the files and wait until the zones have confirmed them."""
     change = _load_change(arguments)
     table_store = open_store(ctl_settings)
     fetched = publishing.fetch_changes(table_store)
@@ -135,10 +135,10 @@
 def open_store(ctl_settings: settings.CtlSettings) -> store.TableStore:
     """Return a client of the table service.
 
-    :raises NoTableService: when the settings name none
+    :raises MissingTableService: when the settings have no address for it
     """
     if ctl_settings.table_service is None:
-        raise NoTableService
+        raise MissingTableService
     address = types.parse_address(ctl_settings.table_service)
     pool_settings = http_pool.PoolSettings(read_timeout_s=ctl_settings.timeout_s)
     return table.TableClient(http_pool.HttpPool(address, pool_settings))
@@ -177,16 +177,16 @@
     documents: publishing.Documents,
     arguments: argparse.Namespace,
 ) -> result.Result[list[str], store.StoreError]:
-    """Wait for the zones; return those that have not confirmed."""
+    """Wait for the zones to confirm; return those that have not."""
     zones = _list_zones(documents) - set(arguments.exclude_zone)
     deadline_s = time.monotonic() + arguments.wait_s
     confirmed: dict[str, int] = {}
     is_quiet = arguments.output == "json" or not sys.stderr.isatty()
     with tqdm.tqdm(total=len(zones), desc="zones", disable=is_quiet) as progress:
         while True:
-            reading = publishing.read_confirmations(table_store)
-            if isinstance(reading, result.Ok):
-                confirmed = reading.ok_value
+            confirmations = publishing.read_confirmations(table_store)
+            if isinstance(confirmations, result.Ok):
+                confirmed = confirmations.ok_value
             missing = sorted(
                 zone for zone in zones if confirmed.get(zone, 0) < documents.revision
             )
@@ -234,7 +234,7 @@
     output.print_error(
         f"revision {documents.revision} is written but not accepted: no confirmation "
         f"from {', '.join(missing)}; those zones may serve the old revision. Run the "
-        "same command again to wait on, or name them with --exclude-zone"
+        "same command again to wait longer, or exclude them with --exclude-zone"
     )
     return exits.Exit.NOT_CONFIRMED
 
--- a/src/endivevane/ctl/daemon_commands.py
+++ b/src/endivevane/ctl/daemon_commands.py
@@ -1,4 +1,4 @@
-"""Commands that ask or steer a daemon: status, services, targets, drain, explain."""
+"""Commands on a daemon: status, services, targets, drain and explain."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 _EVENT_COLUMNS = ("time", "event", "detail")
 
 
-class NoKey(exceptions.EndivevaneError):
-    """The settings and the environment hold no API key for the command.
+class MissingKey(exceptions.EndivevaneError):
+    """Neither the settings nor the environment have an API key for the command.
 
-    :param variable: environment variable that can hold it
+    :param variable: environment variable for the key
     """
 
     def __init__(self, variable: str) -> None:
@@ -34,7 +34,7 @@
         self.variable = variable
 
     def format_message(self) -> str:
-        """Return what to do next."""
+        """Return where the key can be set."""
         return f"no API key: set {self.variable} or the key in the settings file"
 
 
@@ -47,7 +47,7 @@
     targets = commands.add_parser("targets", help="list targets and their load")
     targets.add_argument("--service", help="only this service")
     targets.set_defaults(run=run_targets)
-    drain = commands.add_parser("drain", help="stop a daemon without cutting requests")
+    drain = commands.add_parser("drain", help="finish a daemon's requests and stop it")
     drain.add_argument("daemon", help="address of the daemon, host:port")
     drain.set_defaults(run=run_drain)
     explain = commands.add_parser("explain", help="show what happened to a request")
@@ -58,10 +58,10 @@
 def open_operator_client(ctl_settings: settings.CtlSettings) -> client.DaemonClient:
     """Return a client with the operator key.
 
-    :raises NoKey: when there is none
+    :raises MissingKey: when there is none
     """
     if ctl_settings.operator_key is None:
-        raise NoKey(settings.OPERATOR_KEY_VARIABLE)
+        raise MissingKey(settings.OPERATOR_KEY_VARIABLE)
     return client.DaemonClient(
         ctl_settings, ctl_settings.operator_key.get_secret_value()
     )
@@ -70,7 +70,7 @@
 def run_status(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the state of one daemon and the members that it knows."""
+    """Print the state of one daemon and its view of the membership."""
     status = open_operator_client(ctl_settings).call("GET", "/admin/status")
 
     def print_text(value: dict[str, typing.Any]) -> None:
@@ -96,7 +96,7 @@
 def run_targets(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the targets with their last load reports."""
+    """Print the targets with their latest load reports."""
     value = open_operator_client(ctl_settings).call("GET", "/admin/targets")
     if arguments.service:
         value["targets"] = [
@@ -112,24 +112,24 @@
 def run_drain(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Ask one daemon to finish its requests and stop."""
-    one = ctl_settings.model_copy(update={"daemons": (arguments.daemon,)})
-    value = open_operator_client(one).call("POST", "/admin/drain")
+    """Tell one daemon to finish its requests and stop."""
+    daemon_settings = ctl_settings.model_copy(update={"daemons": (arguments.daemon,)})
+    value = open_operator_client(daemon_settings).call("POST", "/admin/drain")
     return _print(arguments, value, output.print_fields)
 
 
 def run_explain(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the recorded events of one request, from the daemon that served it."""
+    """Print the events that the serving daemon recorded for a request."""
     last_error: client.CallFailed | None = None
     for address in ctl_settings.daemons:
-        one = ctl_settings.model_copy(update={"daemons": (address,)})
+        daemon_settings = ctl_settings.model_copy(update={"daemons": (address,)})
         try:
-            value = open_operator_client(one).call(
+            value = open_operator_client(daemon_settings).call(
                 "GET", f"/admin/explain/{arguments.request_id}"
             )
-        except client.NoDaemonAnswers:
+        except client.NoDaemonReachable:
             continue
         except client.CallFailed as error:
             last_error = error
@@ -141,7 +141,7 @@
         )
     if last_error is not None:
         raise last_error
-    raise client.NoDaemonAnswers(list(ctl_settings.daemons))
+    raise client.NoDaemonReachable(list(ctl_settings.daemons))
 
 
 def _print(
--- a/src/endivevane/ctl/exits.py
+++ b/src/endivevane/ctl/exits.py
@@ -6,7 +6,7 @@
 
 
 class Exit(enum.IntEnum):
-    """What the command's exit status says."""
+    """Exit status of the command."""
 
     OK = 0
     FAILED = 1
--- a/src/endivevane/ctl/fleet_commands.py
+++ b/src/endivevane/ctl/fleet_commands.py
@@ -1,4 +1,4 @@
-"""Commands on a deployment on the platform: its store's rows and its daemons' logs."""
+"""Commands that inspect a deployment through its store and its daemons' logs."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 class StoreUnreachable(exceptions.EndivevaneError):
     """The platform's store does not answer.
 
-    :param address: where it was asked
-    :param cause: what happened
+    :param address: address that was tried
+    :param cause: error of the attempt
     """
 
     def __init__(self, address: str, cause: str) -> None:
@@ -56,17 +56,17 @@
         self.cause = cause
 
     def format_message(self) -> str:
-        """Return the address, the cause and what to do next."""
+        """Return the address, the cause and a remedy."""
         return (
             f"the store at {self.address} does not answer: {self.cause}; check the "
             "address, which the daemons' settings hold as store.address, and try again"
         )
 
 
-class NoLines(exceptions.EndivevaneError):
-    """No log line names a request, job or item.
+class NoMatchingLines(exceptions.EndivevaneError):
+    """No log line refers to the request, job or item.
 
-    :param subject: the id that was looked for
+    :param subject: id that was searched for
     """
 
     def __init__(self, subject: str) -> None:
@@ -74,17 +74,17 @@
         self.subject = subject
 
     def format_message(self) -> str:
-        """Return what to do next."""
+        """Return the id and a remedy."""
         return (
-            f"no line names {self.subject}: give the logs of all daemons of the region "
-            "at that time; lines under load are thinned out, see left_out in them"
+            f"no line names {self.subject}: pass the logs of all daemons of the region "
+            "at that time; lines are rate-limited, left_out counts those omitted"
         )
 
 
 def add_parsers(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     """Add the parsers of these commands."""
     fleet = commands.add_parser(
-        "fleet", help="look at a deployment on the platform, by its store and logs"
+        "fleet", help="inspect a deployment through its store and logs"
     )
     nested = fleet.add_subparsers(dest="fleet", required=True, metavar="COMMAND")
     for name, text, run in (
@@ -105,7 +105,7 @@
             parser.add_argument("--open", action="store_true", help="only open jobs")
         parser.set_defaults(run=run)
     explain = nested.add_parser(
-        "explain", help="show what logs say of a request, a job or an item"
+        "explain", help="search logs for a request, a job or an item"
     )
     explain.add_argument("subject", help="id of the request, job or item")
     explain.add_argument("logs", nargs="+", type=pathlib.Path, help="daemons' logs")
@@ -119,27 +119,27 @@
 def run_members(
     arguments: argparse.Namespace, _settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the daemons that have named themselves in the store."""
-    reading = _open_reader(arguments.store).read_members()
-    return _print_views(arguments, _MEMBER_COLUMNS, _read(arguments.store, reading))
+    """Print the daemons that are registered in the store."""
+    coroutine = _open_reader(arguments.store).read_members()
+    return _print_views(arguments, _MEMBER_COLUMNS, _read(arguments.store, coroutine))
 
 
 def run_targets(
     arguments: argparse.Namespace, _settings: settings.CtlSettings
 ) -> exits.Exit:
     """Print the registered targets."""
-    reading = _open_reader(arguments.store).read_targets()
-    return _print_views(arguments, _TARGET_COLUMNS, _read(arguments.store, reading))
+    coroutine = _open_reader(arguments.store).read_targets()
+    return _print_views(arguments, _TARGET_COLUMNS, _read(arguments.store, coroutine))
 
 
 def run_routes(
     arguments: argparse.Namespace, _settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the version of the configuration in force and its routes."""
-    reading = _open_reader(arguments.store).read_configuration()
-    configuration = _read(arguments.store, reading)
+    """Print the version and the routes of the configuration in force."""
+    coroutine = _open_reader(arguments.store).read_configuration()
+    configuration = _read(arguments.store, coroutine)
     if configuration is None:
-        output.print_note("the operator has not written a configuration yet")
+        output.print_note("the store has no configuration yet")
         return exits.Exit.FAILED
     output.print_note(f"configuration version {configuration.version}")
     views = [inspection.view_route(route) for route in configuration.routes]
@@ -149,7 +149,7 @@
 def run_jobs(
     arguments: argparse.Namespace, _settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the batch jobs, those that are due first before the others."""
+    """Print the batch jobs in order of their due times."""
     found = _read(arguments.store, _open_reader(arguments.store).read_jobs())
     if arguments.open:
         found = [view for view in found if view.state == "open"]
@@ -159,10 +159,10 @@
 def run_explain(
     arguments: argparse.Namespace, _settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Print the log lines on a request, job or item in the order of time."""
+    """Print the log lines about a request, job or item in chronological order."""
     lines = log_search.search(arguments.logs, arguments.subject)
     if not lines:
-        raise NoLines(arguments.subject)
+        raise NoMatchingLines(arguments.subject)
     if arguments.output == "json":
         output.print_json([dataclasses.asdict(line) for line in lines])
         return exits.Exit.OK
@@ -186,7 +186,7 @@
 def run_check(
     arguments: argparse.Namespace, _settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Check files as a daemon does, and say what is wrong."""
+    """Validate files as a daemon does, and report problems."""
     if arguments.settings is None and arguments.configuration is None:
         output.print_error("name a file with --settings or --configuration")
         return exits.Exit.USAGE
@@ -199,9 +199,9 @@
 
 
 def _check_configuration(path: pathlib.Path) -> None:
-    """Decode a configuration file as it is in the store.
+    """Decode a configuration file in the format of the store.
 
-    :raises exceptions.SettingsError: when it can't be read or used
+    :raises exceptions.SettingsError: when it can't be read or is invalid
     """
     try:
         configuration = records.decode_configuration(path.read_bytes())
@@ -222,10 +222,10 @@
 
 
 def _read(
-    address: types.Address, reading: abc.Coroutine[typing.Any, typing.Any, _T]
+    address: types.Address, coroutine: abc.Coroutine[typing.Any, typing.Any, _T]
 ) -> _T:
     try:
-        return asyncio.run(reading)
+        return asyncio.run(coroutine)
     except failures.StoreFailure as error:
         raise StoreUnreachable(f"{address.host}:{address.port}", error.cause) from error
 
--- a/src/endivevane/ctl/job_commands.py
+++ b/src/endivevane/ctl/job_commands.py
@@ -1,4 +1,4 @@
-"""Commands for batch jobs: submit, list, show, cancel, results."""
+"""Batch job commands: submit, list, show, cancel and results."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 def add_parsers(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     """Add the parser of ``jobs`` and its subcommands."""
-    jobs = commands.add_parser("jobs", help="submit and follow batch jobs")
+    jobs = commands.add_parser("jobs", help="submit and monitor batch jobs")
     actions = jobs.add_subparsers(dest="action", required=True, metavar="ACTION")
-    submit = actions.add_parser("submit", help="send a file of items as a job")
+    submit = actions.add_parser("submit", help="submit a file of items as a job")
     submit.add_argument("file", type=pathlib.Path)
     submit.add_argument("--window", default="24h", help="completion window")
     submit.add_argument("--deadline-s", type=float, help="deadline from now")
-    submit.add_argument("--key", help="idempotency key; the file's digest otherwise")
-    submit.add_argument("--wait", action="store_true", help="wait for the end")
+    submit.add_argument("--key", help="idempotency key; default: the file's digest")
+    submit.add_argument("--wait", action="store_true", help="wait until the job ends")
     submit.set_defaults(run=run_submit)
     listing = actions.add_parser("list", help="list the organisation's jobs")
     listing.set_defaults(run=run_list)
@@ -45,15 +45,15 @@
 def run_submit(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Upload a file and create a job; the same file sent again is the same job."""
+    """Upload a file and create a job; idempotent, by default for the same file."""
     try:
         data = arguments.file.read_bytes()
     except OSError as error:
         output.print_error(f"{arguments.file}: {error.strerror}")
         return exits.Exit.INVALID_INPUT
     key = arguments.key or utils.digest_text(data.decode(errors="replace"))
-    caller = _open_client(ctl_settings)
-    uploaded = caller.call("POST", "/v1/files", *_encode_upload(data, key))
+    daemon_client = _open_client(ctl_settings)
+    uploaded = daemon_client.call("POST", "/v1/files", *_encode_upload(data, key))
     body = utils.encode_json(
         {
             "input_file_id": uploaded["id"],
@@ -64,9 +64,9 @@
     headers = {"Content-Type": "application/json", "Idempotency-Key": key}
     if arguments.deadline_s is not None:
         headers["X-Deadline-Ms"] = str(int(arguments.deadline_s * 1000))
-    job = caller.call("POST", "/v1/batches", body, headers)
+    job = daemon_client.call("POST", "/v1/batches", body, headers)
     if arguments.wait:
-        job = _await_end(caller, job, arguments.output == "json")
+        job = _await_end(daemon_client, job, arguments.output == "json")
     return _print_job(arguments, job)
 
 
@@ -102,14 +102,14 @@
 def run_results(
     arguments: argparse.Namespace, ctl_settings: settings.CtlSettings
 ) -> exits.Exit:
-    """Copy the committed results to standard output."""
-    caller = _open_client(ctl_settings)
-    job = caller.call("GET", f"/v1/batches/{arguments.job_id}")
+    """Write the committed results to standard output."""
+    daemon_client = _open_client(ctl_settings)
+    job = daemon_client.call("GET", f"/v1/batches/{arguments.job_id}")
     file_id = job["error_file_id" if arguments.errors else "output_file_id"]
     if file_id is None:
         output.print_note("no results yet")
         return exits.Exit.OK
-    for part in caller.stream("GET", f"/v1/files/{file_id}/content"):
+    for part in daemon_client.stream("GET", f"/v1/files/{file_id}/content"):
         sys.stdout.buffer.write(part)
     sys.stdout.buffer.flush()
     return exits.Exit.OK
@@ -117,12 +117,12 @@
 
 def _open_client(ctl_settings: settings.CtlSettings) -> client.DaemonClient:
     if ctl_settings.caller_key is None:
-        raise daemon_commands.NoKey(settings.CALLER_KEY_VARIABLE)
+        raise daemon_commands.MissingKey(settings.CALLER_KEY_VARIABLE)
     return client.DaemonClient(ctl_settings, ctl_settings.caller_key.get_secret_value())
 
 
 def _encode_upload(data: bytes, key: str) -> tuple[bytes, dict[str, str]]:
-    """Return body and headers of a multipart upload."""
+    """Return the body and the headers of a multipart upload."""
     boundary = utils.make_id("boundary")
     head = (
         f'--{boundary}\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch'
@@ -135,13 +135,13 @@
 
 
 def _await_end(
-    caller: client.DaemonClient, job: dict[str, typing.Any], is_quiet: bool
+    daemon_client: client.DaemonClient, job: dict[str, typing.Any], is_quiet: bool
 ) -> dict[str, typing.Any]:
     is_quiet = is_quiet or not sys.stderr.isatty()
     with tqdm.tqdm(unit="item", disable=is_quiet) as progress:
         while job["status"] not in _FINAL_STATES:
             time.sleep(_POLL_S)
-            job = caller.call("GET", f"/v1/batches/{job['id']}")
+            job = daemon_client.call("GET", f"/v1/batches/{job['id']}")
             counts = job["request_counts"]
             progress.total = counts["total"]
             progress.update(counts["completed"] + counts["failed"] - progress.n)
--- a/src/endivevane/ctl/main.py
+++ b/src/endivevane/ctl/main.py
@@ -36,7 +36,7 @@
     """Return the parser of the whole command."""
     parser = argparse.ArgumentParser(
         prog="endivevanectl",
-        description="Publish configuration, look at daemons and run batch jobs.",
+        description="Publish configuration, inspect daemons and run batch jobs.",
         epilog=_EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
@@ -45,7 +45,7 @@
         "--config",
         type=pathlib.Path,
         metavar="FILE",
-        help=f"settings in TOML; {settings.CONFIG_VARIABLE} otherwise",
+        help=f"settings file in TOML; default: {settings.CONFIG_VARIABLE}",
     )
     parser.add_argument("--output", choices=("text", "json"), default="text")
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
@@ -62,7 +62,7 @@
 ) -> None:
     """Accept ``--output`` after the command as well.
 
-    The default is suppressed there, since it would override a value before the command.
+    Its default is suppressed, since it would override a value before the command.
     """
     for parser in commands.choices.values():
         nested = [
@@ -88,17 +88,17 @@
     except exceptions.InputError as error:
         output.print_error(error.format_message())
         return exits.Exit.INVALID_INPUT
-    except (client.NoDaemonAnswers, fleet_commands.StoreUnreachable) as error:
+    except (client.NoDaemonReachable, fleet_commands.StoreUnreachable) as error:
         output.print_error(error.format_message())
         return exits.Exit.UNAVAILABLE
     except exceptions.EndivevaneError as error:
         output.print_error(error.format_message())
         return exits.Exit.FAILED
     except http.client.HTTPException as error:
-        output.print_error(f"the daemon's answer broke off: {error!r}; try again")
+        output.print_error(f"the daemon's response is truncated: {error!r}; try again")
         return exits.Exit.UNAVAILABLE
     except BrokenPipeError:
-        # The reader of a pipe has left, for example `| head`.
+        # The reader of the pipe has exited, for example `| head`.
         sys.stderr.close()
         return exits.Exit.OK
     return code
--- a/src/endivevane/ctl/output.py
+++ b/src/endivevane/ctl/output.py
@@ -1,4 +1,4 @@
-"""Printing of results as tables or JSON."""
+"""Output of results as tables or JSON."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 def print_error(message: str) -> None:
-    """Print an error for people to standard error."""
+    """Print an error message to standard error."""
     sys.stderr.write(f"error: {message}\n")
 
 
 def print_note(message: str) -> None:
-    """Print progress or advice to standard error, out of the way of pipes."""
+    """Print a message to standard error, so that piped output stays clean."""
     sys.stderr.write(f"{message}\n")
 
 
--- a/src/endivevane/ctl/settings.py
+++ b/src/endivevane/ctl/settings.py
@@ -18,11 +18,11 @@
 
 
 class CtlSettings(pydantic.BaseModel):
-    """Where the command finds the platform and the daemons.
+    """Addresses, API keys and timeout of the command.
 
     :param table_service: address of the platform's table service
-    :param daemons: addresses of daemons; the first that answers is used
-    :param operator_key: API key for reading and steering commands
+    :param daemons: addresses of daemons; the first that can be reached is used
+    :param operator_key: API key for commands that query or control daemons
     :param caller_key: API key for job commands
     """
 
@@ -38,8 +38,8 @@
 def load_settings(path: pathlib.Path | None) -> CtlSettings:
     """Read the settings file and let the environment override its keys.
 
-    :param path: TOML file; ``None`` for the one named by the environment, if any
-    :raises exceptions.SettingsError: with every problem that was found
+    :param path: TOML file; ``None`` for the file that the environment names, if any
+    :raises exceptions.SettingsError: with all problems found
     """
     if path is None and os.environ.get(CONFIG_VARIABLE):
         path = pathlib.Path(os.environ[CONFIG_VARIABLE])
