--- a/features/bad_requests.feature
+++ b/features/bad_requests.feature
@@ -1,4 +1,4 @@
-Feature: Bad input gets a clear error and harms nobody else
+Feature: Invalid requests get a clear error and do not affect the daemon
 
   Background:
     Given 1 engine that makes a token every 5 ms, behind the front end
@@ -54,8 +54,8 @@
       | Authorization   | (empty)            | 401    | invalid_api_key   |
       | Authorization   | Bearer other-key   | 404    | model_not_found   |
 
-  # Guards against answers of the HTTP library that are not in the error format.
-  Scenario Outline: A request that is not HTTP gets the same kind of error
+  # Guards against error responses of the HTTP library that are not in the JSON format.
+  Scenario Outline: A request that is not valid HTTP gets an error in the same format
     When the bytes of <request> are sent
     Then the answer has status <status> and code "<code>"
     And the answer says "not-run" and has an error in JSON
@@ -77,8 +77,8 @@
       | an unknown path           | 404    | not_found                       |
       | an unknown method         | 405    | method_not_allowed              |
 
-  # Guards against callers that hold connections by sending slowly.
-  Scenario: A request that never arrives in full is given up
+  # Guards against clients that occupy connections by sending slowly.
+  Scenario: A request that never arrives in full times out
     Given requests must arrive within 1 s
     When half a request is sent
     Then the answer has status 408 and code "request_timeout"
--- a/features/connections.feature
+++ b/features/connections.feature
@@ -1,12 +1,12 @@
-Feature: Callers' connections go from the HTTP server to the relay and harm no others
+Feature: Client connections are passed from the HTTP server to the relay
 
   Background:
     Given 1 engine that makes a token every 2 ms, behind the front end
 
-  # Guards against requests of a connection that get lost or answered out of order.
-  Scenario Outline: A stream is asked for <how>
-    When a stream of 20 tokens is asked for <how>
-    Then the answers before it are "<before>"
+  # Guards against requests on a connection that are lost or answered out of order.
+  Scenario Outline: A stream is requested <how>
+    When a stream of 20 tokens is requested <how>
+    Then the responses before it are "<before>"
     And the stream brings the engine's whole text
 
     Examples:
@@ -19,21 +19,21 @@
       | one byte at a time                      |         |
       | by HTTP/1.0                             |         |
 
-  # Guards against descriptors that two parts of the daemon use at once.
+  # Guards against file descriptors that the HTTP server and the relay use at once.
   Scenario: Short streams and kept connections at the same time
-    When 6 callers make 40 short streams each while 4 callers make 150 calls each
-    Then every stream is whole and every call is answered
+    When 6 clients make 40 short streams each while 4 clients make 150 calls each
+    Then every stream is complete and every call gets a response
 
-  # Guards against running out of descriptors.
-  Scenario: More connections than the bound wait until others close
+  # Guards against running out of file descriptors.
+  Scenario: Connections above the limit wait until others close
     Given at most 8 connections are served at a time
     When 12 connections are opened
-    Then at least 1 of them gets no answer
+    Then at least 1 of them gets no response
     When the other connections are closed
-    Then the waiting connections are answered
+    Then the waiting connections get a response
 
-  Scenario: A request behind a stream on the same connection is not run
-    When a stream of 20 tokens is asked for with a second request behind it
+  Scenario: A request pipelined behind a stream is not run
+    When a stream of 20 tokens is requested with a second request behind it
     Then the stream brings the engine's whole text
     And the engines have run it once
 
--- a/features/steps/bad_requests_steps.py
+++ b/features/steps/bad_requests_steps.py
@@ -6,45 +6,47 @@
 
 from features.support import engine_caller, online_calls, online_machine, raw_http
 
-_GOOD = {
+_VALID_BODY = {
     "model": online_machine.MODEL,
     "messages": [{"role": "user", "content": "hi"}],
     "max_tokens": 2,
 }
 
 
-def _change(**changes):
-    return json.dumps({**_GOOD, **changes}).encode()
+def _encode_body(**changes):
+    return json.dumps({**_VALID_BODY, **changes}).encode()
 
 
-def _without(key):
-    return json.dumps({name: _GOOD[name] for name in _GOOD if name != key}).encode()
+def _encode_body_without(key):
+    return json.dumps(
+        {name: _VALID_BODY[name] for name in _VALID_BODY if name != key}
+    ).encode()
 
 
 _NESTED = b"[" * 900 + b"]" * 900
 _BODIES = {
     "broken JSON": b'{"model": "small-lm", "messages": [',
     "empty": b" ",
-    "bad UTF-8": _change().replace(b"hi", b"\xff\xfe"),
+    "bad UTF-8": _encode_body().replace(b"hi", b"\xff\xfe"),
     "a JSON list": b"[1, 2]",
     "NUL bytes": b"\x00" * 100,
-    "deeply nested": _change(tools="NESTED").replace(b'"NESTED"', _NESTED),
-    "lone surrogate": _change().replace(b"hi", b"\\ud800"),
-    "without model": _without("model"),
-    "model is a number": _change(model=5),
-    "without messages": _without("messages"),
-    "no messages in the list": _change(messages=[]),
-    "messages is a string": _change(messages="hi"),
-    "a message is a string": _change(messages=["hi"]),
-    "a message without role": _change(messages=[{"content": "hi"}]),
-    "content is a number": _change(messages=[{"role": "user", "content": 5}]),
-    "stream is a string": _change(stream="yes"),
-    "temperature is a string": _change(temperature="0"),
-    "temperature too high": _change(temperature=2.5),
-    "max_tokens is negative": _change(max_tokens=-1),
-    "unknown model": _change(model="huge-lm"),
-    "unknown adapter": _change(model="small-lm:other"),
-    "too large": _change(messages=[{"role": "user", "content": "x" * (5 << 20)}]),
+    "deeply nested": _encode_body(tools="NESTED").replace(b'"NESTED"', _NESTED),
+    "lone surrogate": _encode_body().replace(b"hi", b"\\ud800"),
+    "without model": _encode_body_without("model"),
+    "model is a number": _encode_body(model=5),
+    "without messages": _encode_body_without("messages"),
+    "no messages in the list": _encode_body(messages=[]),
+    "messages is a string": _encode_body(messages="hi"),
+    "a message is a string": _encode_body(messages=["hi"]),
+    "a message without role": _encode_body(messages=[{"content": "hi"}]),
+    "content is a number": _encode_body(messages=[{"role": "user", "content": 5}]),
+    "stream is a string": _encode_body(stream="yes"),
+    "temperature is a string": _encode_body(temperature="0"),
+    "temperature too high": _encode_body(temperature=2.5),
+    "max_tokens is negative": _encode_body(max_tokens=-1),
+    "unknown model": _encode_body(model="huge-lm"),
+    "unknown adapter": _encode_body(model="small-lm:other"),
+    "too large": _encode_body(messages=[{"role": "user", "content": "x" * (5 << 20)}]),
 }
 _VALUES = {"(empty)": "", "(too long)": "k" * 300}
 _PATH = b"/v1/chat/completions"
@@ -56,7 +58,7 @@
     return head + fields + b"\r\n\r\n" + body
 
 
-def _chunks(count, size):
+def _encode_chunks(count, size):
     return b"".join(b"%x\r\n%b\r\n" % (size, b"x" * size) for _ in range(count))
 
 
@@ -69,7 +71,7 @@
     "a huge Content-Length": _post(b"Content-Length: " + b"9" * 5000),
     "a bad chunk": _post(b"Transfer-Encoding: chunked", b"zz\r\nhello\r\n0\r\n\r\n"),
     "chunks larger than limit": _post(
-        b"Transfer-Encoding: chunked", _chunks(80, 1 << 16)
+        b"Transfer-Encoding: chunked", _encode_chunks(80, 1 << 16)
     ),
     "a body larger than limit": _post(b"Content-Length: 6000000", b"x" * 6_000_000),
     "headers larger than limit": _post(b"X-Padding: " + b"x" * 40_000),
@@ -79,16 +81,16 @@
 }
 
 
-def _exchange(context, data):
-    """Send bytes and read the answer, which may come before all is sent."""
+def _send_and_read(context, data):
+    """Send bytes and read the response, which may arrive before all are sent."""
     sock = raw_http.connect(online_calls.get_front(context).address)
     with contextlib.suppress(ConnectionError):
         sock.sendall(data)
-    return _read_answer(sock)
+    return _read_response(sock)
 
 
-def _read_answer(sock):
-    """Read one answer; the connection may stay open after it."""
+def _read_response(sock):
+    """Read one response; the connection may stay open after it."""
     data = b""
     while True:
         part = sock.recv(65536)
@@ -99,7 +101,7 @@
         if answer is not None and answer.is_whole:
             break
     sock.close()
-    assert data, "the connection was closed without an answer"
+    assert data, "the connection was closed without a response"
     return raw_http.parse_answer(data)
 
 
@@ -117,33 +119,33 @@
 def step_post_body(context, name):
     body = _BODIES[name]
     length = b"Content-Length: %d" % len(body)
-    context.answer = _exchange(context, _post(length, body))
+    context.answer = _send_and_read(context, _post(length, body))
 
 
 @when('a good body is posted with "{header}" set to "{value}"')
 def step_post_header(context, header, value):
-    body = _change()
+    body = _encode_body()
     fields = {"Authorization": f"Bearer {online_machine.KEY}"}
     fields[header] = _VALUES.get(value, value)
     data = raw_http.encode_request("POST", _PATH.decode(), body, fields)
-    context.answer = _exchange(context, data)
+    context.answer = _send_and_read(context, data)
 
 
 @when("the bytes of {name} are sent")
 def step_send(context, name):
-    context.answer = _exchange(context, _REQUESTS[name])
+    context.answer = _send_and_read(context, _REQUESTS[name])
 
 
 @when("half a request is sent")
 def step_send_half(context):
-    context.answer = _exchange(context, _post(b"Content-Length: 100", b"{"))
+    context.answer = _send_and_read(context, _post(b"Content-Length: 100", b"{"))
 
 
 @when("a connection is opened and nothing is sent")
 def step_open(context):
     context.sock = raw_http.connect(online_calls.get_front(context).address)
     context.cleanups.append(context.sock.close)
-    context.begun_s = time.monotonic()
+    context.started_s = time.monotonic()
 
 
 @then('the answer says "{run_state}" and has an error in JSON')
@@ -165,7 +167,7 @@
     assert not runs, f"the refused request was run: {runs}"
     headers = {"Authorization": f"Bearer {online_machine.KEY}"}
     status, _, body = engine_caller.post(
-        address, "/v1/chat/completions", _GOOD, headers
+        address, "/v1/chat/completions", _VALID_BODY, headers
     )
     assert status == 200, body
 
@@ -173,4 +175,4 @@
 @then("the connection is closed within {limit_s:g} s")
 def step_check_closed(context, limit_s):
     assert context.sock.recv(1) == b""
-    assert time.monotonic() - context.begun_s < limit_s
+    assert time.monotonic() - context.started_s < limit_s
--- a/features/steps/connections_steps.py
+++ b/features/steps/connections_steps.py
@@ -9,13 +9,13 @@
 from features.support import engine_caller, online_calls, online_machine, raw_http
 
 _CALL = raw_http.encode_request("GET", "/healthz")
-_UNKNOWN = raw_http.encode_request("GET", "/nowhere")
+_UNKNOWN_PATH = raw_http.encode_request("GET", "/nowhere")
 _PROMPT = "connections"
 _HEAD_END = b"\r\n\r\n"
 
 
 def _encode_chunked(data):
-    """Return the same request with its body in chunks of 16 bytes."""
+    """Return the request with its body in chunks of 16 bytes."""
     head, _, body = data.partition(_HEAD_END)
     head = re.sub(rb"Content-Length: \d+", b"Transfer-Encoding: chunked", head)
     parts = [body[index : index + 16] for index in range(0, len(body), 16)]
@@ -23,12 +23,12 @@
     return head + _HEAD_END + chunks + b"0\r\n\r\n"
 
 
-def _read_call(sock):
-    """Read one answer with a Content-Length and leave what follows it."""
+def _read_status(sock):
+    """Read one response with a Content-Length and leave what follows it."""
     data = b""
     while True:
         part = sock.recv(65536, socket.MSG_PEEK)
-        assert part, "closed before the answer"
+        assert part, "closed before the response"
         head, found, rest = part.partition(_HEAD_END)
         if not found:
             continue
@@ -40,24 +40,24 @@
 
 
 def _send_stream(sock, how, data):
-    """Ask for the stream; return the statuses of the answers before it."""
+    """Request the stream; return the statuses of the responses before it."""
     if how == "on a connection that was used before":
         sock.sendall(_CALL)
-        before = [_read_call(sock)]
+        before = [_read_status(sock)]
         sock.sendall(data)
         return before
     if how == "right behind another request":
         sock.sendall(_CALL + data)
-        return [_read_call(sock)]
+        return [_read_status(sock)]
     if how == "right behind two other requests":
-        sock.sendall(_CALL + _UNKNOWN + data)
-        return [_read_call(sock), _read_call(sock)]
+        sock.sendall(_CALL + _UNKNOWN_PATH + data)
+        return [_read_status(sock), _read_status(sock)]
     if how == "with a body in chunks":
         sock.sendall(_encode_chunked(data))
     elif how == "with a body that waits for 100-continue":
         head, _, body = data.partition(_HEAD_END)
         sock.sendall(head + b"\r\nExpect: 100-continue" + _HEAD_END)
-        before = [_read_call(sock)]
+        before = [_read_status(sock)]
         sock.sendall(body)
         return before
     elif how == "one byte at a time":
@@ -81,7 +81,7 @@
     assert online_calls.call(context, _PROMPT, 5).is_whole
 
 
-@when("a stream of {tokens:d} tokens is asked for with a second request behind it")
+@when("a stream of {tokens:d} tokens is requested with a second request behind it")
 def step_ask_with_second(context, tokens):
     context.expected = online_machine.expected_text(_PROMPT, tokens)
     sock = raw_http.connect(online_calls.get_front(context).address)
@@ -91,7 +91,7 @@
     context.has_framing = True
 
 
-@when("a stream of {tokens:d} tokens is asked for {how}")
+@when("a stream of {tokens:d} tokens is requested {how}")
 def step_ask(context, tokens, how):
     context.expected = online_machine.expected_text(_PROMPT, tokens)
     sock = raw_http.connect(online_calls.get_front(context).address)
@@ -101,7 +101,7 @@
     context.has_framing = how != "by HTTP/1.0"
 
 
-def _stream_often(context, number, count):
+def _make_streams(context, number, count):
     answers = []
     for index in range(count):
         prompt = f"caller {number} stream {index}"
@@ -110,7 +110,7 @@
     return answers
 
 
-def _call_often(address, count):
+def _make_calls(address, count):
     statuses = []
     with contextlib.closing(raw_http.connect(address)) as sock:
         for _ in range(count):
@@ -119,17 +119,17 @@
 
 
 @when(
-    "{streamers:d} callers make {streams:d} short streams each while {callers:d} "
-    "callers make {calls:d} calls each"
+    "{streamers:d} clients make {streams:d} short streams each while {callers:d} "
+    "clients make {calls:d} calls each"
 )
 def step_mix(context, streamers, streams, callers, calls):
     address = online_calls.get_front(context).address
     streaming = [
-        online_machine.Background(_stream_often, context, number, streams)
+        online_machine.Background(_make_streams, context, number, streams)
         for number in range(streamers)
     ]
     calling = [
-        online_machine.Background(_call_often, address, calls) for _ in range(callers)
+        online_machine.Background(_make_calls, address, calls) for _ in range(callers)
     ]
     context.streamed = [item for run in streaming for item in run.result(60.0)]
     context.statuses = [item for run in calling for item in run.result(60.0)]
@@ -160,28 +160,28 @@
 @when("nothing happens for {seconds:g} s")
 def step_wait(context, seconds):
     relay = context.front.relay
-    # The timers of the stream that was served pass first; they are not periodic.
+    # The timers of the stream that was served expire first; they are not periodic.
     engine_caller.wait_until(
         lambda: relay._dispatcher.timers.next_s() is None, 15.0, "timers are left"
     )
     rounds = []
     original = relay._run_round
 
-    def count_round():
+    def record_round():
         rounds.append(1)
         original()
 
-    relay._run_round = count_round
+    relay._run_round = record_round
     time.sleep(seconds)
     context.rounds = len(rounds)
 
 
-@then('the answers before it are "{before}"')
+@then('the responses before it are "{before}"')
 def step_check_before(context, before):
     assert " ".join(map(str, context.before)) == before, context.before
 
 
-@then('the answers before it are ""')
+@then('the responses before it are ""')
 def step_check_no_before(context):
     assert context.before == [], context.before
 
@@ -196,7 +196,7 @@
     assert answer.headers["connection"] == "close"
 
 
-@then("every stream is whole and every call is answered")
+@then("every stream is complete and every call gets a response")
 def step_check_mix(context):
     for answer, expected in context.streamed:
         assert answer.status == 200, answer.body
@@ -204,12 +204,12 @@
     assert set(context.statuses) == {200}, context.statuses
 
 
-@then("at least 1 of them gets no answer")
+@then("at least 1 of them gets no response")
 def step_check_waiting(context):
     assert context.waiting and context.answered
 
 
-@then("the waiting connections are answered")
+@then("the waiting connections get a response")
 def step_check_answered(context):
     for sock in context.waiting:
         sock.settimeout(5.0)
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -6,7 +6,7 @@
 
 from tools import fleet, fleet_plan
 
-_DRAIN_BOUND_S = 10.0
+_DRAIN_TIMEOUT_S = 10.0
 
 
 @given(
@@ -121,7 +121,7 @@
 
 @then("the first daemon ends with status 0 within 10 seconds")
 def step_ended(context):
-    assert context.fleet.daemons[0].process.wait(_DRAIN_BOUND_S) == 0
+    assert context.fleet.daemons[0].process.wait(_DRAIN_TIMEOUT_S) == 0
 
 
 @then("the second daemon answers requests")
--- a/features/steps/retention_steps.py
+++ b/features/steps/retention_steps.py
@@ -20,7 +20,7 @@
 )
 
 _NOW_MS = 10_000_000_000
-_FUZZED = fuzz_retention.RetentionMachine
+_MACHINE = fuzz_retention.RetentionMachine
 
 
 def _make_job(state, ended_ms, model="m"):
@@ -50,28 +50,28 @@
     )
 
 
-@when("a job is {state} and its end was {age_s:d} s ago")
+@when("a job is {state} and ended {age_s:d} s ago")
 def step_job(context, state, age_s):
     job = _make_job(state, _NOW_MS - 1000 * age_s)
-    context.step_due = context.policy.decide_job(job)
+    context.next_step = context.policy.decide_job(job)
 
 
-@when('a job of the model "{model}" is {state} and its end was {age_s:d} s ago')
+@when('a job of the model "{model}" is {state} and ended {age_s:d} s ago')
 def step_job_of_model(context, model, state, age_s):
     job = _make_job(state, _NOW_MS - 1000 * age_s, model)
-    context.step_due = context.policy.decide_job(job)
+    context.next_step = context.policy.decide_job(job)
 
 
 @when("a register row is {state} and was claimed {age_s:d} s ago")
 def step_register_row(context, state, age_s):
     value = {"state": state.split()[0], "claimed_ms": _NOW_MS - 1000 * age_s}
     value["outcome"] = {"object": "o"} if "object" in state else {}
-    context.step_due = context.policy.decide_register_row(value)
+    context.next_step = context.policy.decide_register_row(value)
 
 
-@then('the step that is due for it is "{step}"')
+@then('the next retention step is "{step}"')
 def step_check_due(context, step):
-    assert context.step_due == step, context.step_due
+    assert context.next_step == step, context.next_step
 
 
 @when("a service with results_s {results_s:d} and keys_s {keys_s:d} is validated")
@@ -132,10 +132,10 @@
 
 @when("the sweepers are fuzzed with {examples:d} examples of {steps:d} steps")
 def step_fuzz(context, examples, steps):
-    context.steps_run = fuzzing.run_machine(_FUZZED, examples, steps)
+    context.steps_run = fuzzing.run_machine(_MACHINE, examples, steps)
 
 
-@then("the sweepers took at least {count:d} steps")
+@then("the sweepers were fuzzed for at least {count:d} steps")
 def step_check_steps(context, count):
     assert context.steps_run >= count, context.steps_run
 
@@ -165,7 +165,7 @@
     "second"
 )
 def step_check_rates(context, reads, writes):
-    # Each daemon's first call comes at once, which adds 340 calls to 3,600 s.
+    # The first call of each daemon is not delayed, which adds 340 calls to 3,600 s.
     first = 340 / 3600
     assert context.rates[pacing.BudgetKind.ROWS_READ] <= reads + 2 * first
     assert context.rates[pacing.BudgetKind.ROWS_WRITTEN] <= writes + 2 * first
@@ -217,7 +217,7 @@
 
 
 def _call(context, index, method, path, body=None, **headers):
-    """Return status, headers and body of a call to a daemon."""
+    """Call a daemon; return the status, the headers and the body."""
     request = urllib.request.Request(
         context.batch.fleet.daemons[index].url + path,
         None if body is None else json.dumps(body).encode(),
@@ -229,13 +229,13 @@
         method=method,
     )
     try:
-        with urllib.request.urlopen(request, timeout=20) as answer:
-            return answer.status, answer.headers, answer.read()
+        with urllib.request.urlopen(request, timeout=20) as response:
+            return response.status, response.headers, response.read()
     except urllib.error.HTTPError as error:
         return error.code, error.headers, error.read()
 
 
-@when("a job of {count:d} items completes and a call is made once")
+@when("a job of {count:d} items completes and an at-most-once call is made")
 def step_complete(context, count):
     lines = batch_fleet.make_lines(count, context.batch.fleet.plan.model)
     source = context.batch.upload(lines)
@@ -252,7 +252,7 @@
 
 @when("a daemon is killed while the sweeps begin")
 def step_kill(context):
-    """Kill the daemon whose shard has the job."""
+    """Kill the daemon that sweeps the job's shard."""
     daemons = context.batch.fleet.daemons
     names = [item.name for item in daemons]
     (shard,) = [
@@ -276,16 +276,14 @@
         time.sleep(0.2)
 
 
-@then(
-    'the job answers 410 "{code}" with run state "{run_state}" through another daemon'
-)
+@then('another daemon reports the job as 410 "{code}" with run state "{run_state}"')
 def step_check_gone(context, code, run_state):
     path = f"/v1/batches/{context.job.id}"
     content = f"/v1/files/{context.job.output_file_id}/content"
     _wait_for(
         lambda: _call(context, context.alive, "GET", path)[0] == 410,
         60,
-        lambda: "the job is still there",
+        lambda: "the job has not expired",
     )
     for gone in (path, content):
         status, headers, body = _call(context, context.alive, "GET", gone)
@@ -294,7 +292,7 @@
         assert headers["X-Run-State"] == run_state, headers["X-Run-State"]
 
 
-@then("the same request gets the same answer and creates no job")
+@then("the same request gets the same error and creates no job")
 def step_check_resubmitted(context):
     body = {
         "input_file_id": context.source_id,
@@ -311,7 +309,7 @@
 
 
 def _read_rows(context, table):
-    """Return the last value of each row that is not deleted."""
+    """Return the last value of each row that has not been deleted."""
     last = {}
     for entry in context.batch.fleet.store.record()["history"]:
         if entry["table"] == table:
@@ -328,8 +326,8 @@
         tables = ("chunks", "files", "register")
         left = {table: list(_read_rows(context, table)) for table in tables}
         url = f"{context.batch.fleet.store.url}/v1/objects?prefix="
-        with urllib.request.urlopen(url, timeout=20) as answer:
-            return left, json.load(answer)["objects"]
+        with urllib.request.urlopen(url, timeout=20) as response:
+            return left, json.load(response)["objects"]
 
     def is_empty():
         rows, objects = list_left()
--- a/features/steps/upload_steps.py
+++ b/features/steps/upload_steps.py
@@ -14,30 +14,30 @@
 
 
 class _Handler:
-    """Reads an upload and answers with its digest."""
+    """Reads an upload and responds with its digest."""
 
     def __init__(self, refuses):
         self.refuses = refuses
-        self.may_read = threading.Event()
-        self.begun = threading.Event()
+        self.may_continue = threading.Event()
+        self.started = threading.Event()
         self.failed = threading.Event()
         self.runs = 0
 
     def __call__(self, environ, start_response):
         request = werkzeug.wrappers.Request(environ)
-        return self._answer(request)(environ, start_response)
+        return self._respond(request)(environ, start_response)
 
-    def _answer(self, request):
+    def _respond(self, request):
         if request.path == "/results":
             pieces = (bytes(1 << 16) for _ in range(128))
             return werkzeug.wrappers.Response(pieces)
         if request.path != "/v1/files":
             return werkzeug.wrappers.Response("plain")
         self.runs += 1
-        self.begun.set()
+        self.started.set()
         if self.refuses:
             return werkzeug.wrappers.Response("too large", status=413)
-        self.may_read.wait(20)
+        self.may_continue.wait(20)
         digest = hashlib.sha256()
         try:
             while data := request.stream.read(1 << 16):
@@ -52,12 +52,12 @@
 def step_server(context, behaviour):
     context.handler = _Handler(behaviour == "refuses at once")
     if behaviour == "reads":
-        context.handler.may_read.set()
-    context.opened = []
+        context.handler.may_continue.set()
+    context.tempfiles = []
 
     class Recorder(waitress.buffers.TempfileBasedBuffer):
         def newfile(self):
-            context.opened.append(1)
+            context.tempfiles.append(1)
             return super().newfile()
 
     original = waitress.buffers.TempfileBasedBuffer
@@ -70,7 +70,7 @@
     settings = server.ServerSettings(listen=Address("127.0.0.1", 0), worker_threads=2)
     context.server = server.HttpServer(settings, context.handler)
     context.cleanups.append(context.server.stop)
-    context.cleanups.append(context.handler.may_read.set)
+    context.cleanups.append(context.handler.may_continue.set)
     context.server.start()
 
 
@@ -85,7 +85,7 @@
     ).encode()
 
 
-@when("a caller sends half of an upload of {size:d} MiB")
+@when("half of an upload of {size:d} MiB is sent")
 def step_send_half(context, size):
     head = _connect(context, size << 20)
     context.sock.sendall(head)
@@ -99,23 +99,23 @@
     context.sock.settimeout(10.0)
 
 
-@then("the handler has begun")
+@then("the handler has started")
 def step_check_begun(context):
-    assert context.handler.begun.wait(5)
+    assert context.handler.started.wait(5)
 
 
-@then("the server has taken at most {limit:d} MiB while the handler waits")
+@then("the server buffers at most {limit:d} MiB while the handler waits")
 def step_check_taken(context, limit):
-    # The kernel's receive buffer of the loopback holds up to some MiB besides.
+    # The kernel's receive buffer holds up to a few MiB more on the loopback.
     channels = list(context.server._server.active_channels.values())
-    held = sum(item.request.body_rcv._buffered_bytes for item in channels)
-    print(f"sent {context.sent}, held by the server {held}")
-    assert 0 < held <= limit << 20, held
+    buffered_bytes = sum(item.request.body_rcv._buffered_bytes for item in channels)
+    print(f"sent {context.sent}, buffered by the server {buffered_bytes}")
+    assert 0 < buffered_bytes <= limit << 20, buffered_bytes
 
 
-@when("the handler goes on and the caller sends the rest")
+@when("the handler continues and the client sends the rest")
 def step_go_on(context):
-    context.handler.may_read.set()
+    context.handler.may_continue.set()
     context.sock.sendall(context.body[context.sent :])
 
 
@@ -125,14 +125,14 @@
     return response, response.read()
 
 
-@then("the answer tells the digest of the upload")
+@then("the response has the digest of the upload")
 def step_check_digest(context):
     response, data = _read_response(context)
     assert response.status == 200, response.status
     assert data.decode() == hashlib.sha256(context.body).hexdigest()
 
 
-@then("the next request on the same connection is answered")
+@then("the next request on the same connection gets a response")
 def step_check_next(context):
     context.sock.sendall(b"GET /other HTTP/1.1\r\nHost: x\r\n\r\n")
     response, data = _read_response(context)
@@ -141,21 +141,21 @@
 
 @then("no temporary file was opened")
 def step_check_files(context):
-    assert not context.opened
+    assert not context.tempfiles
 
 
-@when("a caller sends a whole upload of {size:d} MiB")
+@when("a whole upload of {size:d} MiB is sent")
 def step_send_whole(context, size):
     head = _connect(context, size << 20)
     context.sock.sendall(head)
-    assert context.handler.begun.wait(5)
+    assert context.handler.started.wait(5)
     try:
         context.sock.sendall(context.body)
     except OSError as error:
         print(f"sending ended with {error!r}")
 
 
-@then("the caller reads status {status:d} and the end of the connection")
+@then("the client reads status {status:d} and the end of the connection")
 def step_check_refused(context, status):
     response, data = _read_response(context)
     assert response.status == status, response.status
@@ -163,11 +163,11 @@
     assert response.headers["Connection"] == "close"
 
 
-@when("the caller leaves and the handler goes on")
+@when("the client disconnects and the handler continues")
 def step_leave(context):
-    assert context.handler.begun.wait(5)
+    assert context.handler.started.wait(5)
     context.sock.close()
-    context.handler.may_read.set()
+    context.handler.may_continue.set()
 
 
 @then("the handler ends with an error within {limit:d} s")
@@ -175,7 +175,7 @@
     assert context.handler.failed.wait(limit)
 
 
-@when("a caller sends an upload of {size:d} bytes in one piece")
+@when("an upload of {size:d} bytes is sent in one write")
 def step_send_small(context, size):
     head = _connect(context, size)
     context.sock.sendall(head + context.body)
@@ -187,7 +187,7 @@
     assert context.handler.runs == 1, context.handler.runs
 
 
-@when("a caller asks for 8 MiB of results and reads nothing for {pause_s:d} s")
+@when("a client requests 8 MiB of results and reads nothing for {pause_s:d} s")
 def step_ask(context, pause_s):
     _connect(context, 0)
     context.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 64 << 10)
@@ -195,14 +195,14 @@
     time.sleep(pause_s)
 
 
-@then("the server holds at most {limit:d} MiB of the answer")
+@then("the server buffers at most {limit:d} MiB of the response")
 def step_check_held(context, limit):
     (item,) = context.server._server.active_channels.values()
-    print(f"held by the server {item.total_outbufs_len}")
+    print(f"buffered by the server {item.total_outbufs_len}")
     assert 0 < item.total_outbufs_len <= limit << 20
 
 
-@then("the caller can read the whole answer")
+@then("the client can read the whole response")
 def step_read_all(context):
     response, data = _read_response(context)
     assert response.status == 200
--- a/features/support/fuzz_retention.py
+++ b/features/support/fuzz_retention.py
@@ -1,8 +1,8 @@
-"""Fuzzing of retention against an oracle that lists what must still be there.
+"""Fuzzing of retention against a model of the data that must be kept.
 
-Two sweepers work on two jobs, their input files and two keys of the register. Any call
-of a sweeper may fail, lose its answer, come after its death, or follow a pause in which
-the other sweeper works, time passes and the jobs are created anew.
+Two sweepers process two jobs, their input files and two keys of the register. Any call
+of a sweeper may fail, lose its response, take effect after a crash, or follow a pause
+in which the other sweeper runs, time passes and the jobs are created again.
 """
 
 import result
@@ -32,7 +32,7 @@
 
 
 class UnconditionalCalls(platform_calls.PlatformCalls):
-    """Broken: writes and deletes rows whatever they have become."""
+    """Faulty on purpose: writes and deletes rows even if they have changed."""
 
     def write(self, row, value, is_due=None):
         self._pacer.acquire(None, 1)
@@ -46,7 +46,7 @@
 
 
 class RetentionMachine(retention_world.World):
-    """The correct sweepers; subclasses replace ``calls_class``."""
+    """Runs the correct sweepers; subclasses replace ``calls_class``."""
 
     @stateful.initialize()
     def begin(self):
@@ -99,7 +99,7 @@
     @stateful.precondition(lambda self: self.lost_claims)
     @stateful.rule(number=st.integers(0, 9), commits=st.booleans())
     def wake_lost_claim(self, number, commits):
-        """A holder that was paused writes its object and tries to commit."""
+        """A daemon that was paused and lost its claim writes and tries to commit."""
         type(self).steps_run += 1
         claim = self.lost_claims[number % len(self.lost_claims)]
         job = claim.stored_job.job
@@ -120,7 +120,7 @@
         has_rival=st.booleans(),
     )
     def delete_file(self, number, faults, at_call, has_rival):
-        """A user deletes a file, perhaps while another delete finds it in use."""
+        """A user deletes a file, perhaps while a second delete finds it in use."""
         type(self).steps_run += 1
         file_id = f"file-{number}"
 
@@ -151,10 +151,12 @@
     def call_once(self, number, ending):
         type(self).steps_run += 1
         key = f"k{number}"
-        sight = self.register.claim("org", key, "d", self.clock.wall_ms()).ok_value
+        claim_result = self.register.claim(
+            "org", key, "d", self.clock.wall_ms()
+        ).ok_value
         known = self.known_calls.get(key)
-        if not isinstance(sight, register.Claim):
-            assert known is not None, f"{sight} of no call"
+        if not isinstance(claim_result, register.Claim):
+            assert known is not None, f"{claim_result} for a key without a call"
             return
         if known is not None:
             factor = 1 if known[1] else 2
@@ -164,11 +166,13 @@
             ), f"{key} ran again after {age_s} s"
         outcome = {"status": 200}
         if ending == "object":
-            name = at_most_once.make_object_key(sight.row_key, sight.operation_id)
+            name = at_most_once.make_object_key(
+                claim_result.row_key, claim_result.operation_id
+            )
             outcome["object"] = name
             self.objects.put(name, b"answer")
         if ending != "none":
-            self.register.record(sight, outcome)
+            self.register.record(claim_result, outcome)
         self.known_calls[key] = (
             self.clock.wall_ms(), outcome if ending != "none" else None
         )  # fmt: skip
@@ -198,7 +202,7 @@
         type(self).steps_run += 1
         self.clock.advance(wait_s)
         actions = {
-            "die": self._die,
+            "die": self._crash,
             "rival": self.sweepers[1 - who].sweep,
             "pause": lambda: self._pause(1 - who),
             "lengthen": self._lengthen,
@@ -206,25 +210,27 @@
         self.sweepers[who].pacer.plan = [None] * at_call + [actions[action]]
         try:
             self.sweepers[who].sweep(first)
-        except retention_world.Died:
+        except retention_world.DaemonCrashed:
             self.sweepers[who] = retention_world.Sweeper(self)
         self.sweepers[who].pacer.plan = []
-        self.snapshot = self.usual_snapshot
+        self.snapshot = self.default_snapshot
         rows = self.list_undecided()
-        assert self.undecided <= rows, f"longer periods: lost {self.undecided - rows}"
+        assert (
+            self.undecided <= rows
+        ), f"lost before the longer periods: {self.undecided - rows}"
         self.undecided = set()
 
     def _lengthen(self):
-        """Longer periods are published while the sweep waits for the budget."""
+        """Publish longer periods while the sweep waits for the budget."""
         self.snapshot = self.long_snapshot
         self.undecided = self.list_undecided()
 
-    def _die(self):
-        raise retention_world.Died
+    def _crash(self):
+        raise retention_world.DaemonCrashed
 
     def _pause(self, other):
-        """The sweeper sleeps while its work is done and the jobs are created anew."""
-        self.note_jobs()
+        """Run the other sweeper and create the jobs again during a sweeper's pause."""
+        self.update_known_jobs()
         self.clock.advance(2 * retention_world.KEYS_S)
         self.sweepers[other].sweep()
         for number in range(2):
@@ -242,7 +248,7 @@
 
     @stateful.rule(number=_NUMBERS, sweeps_at=st.integers(0, 2))
     def read_results(self, number, sweeps_at):
-        """A reader that is overtaken gets a typed error, never a part."""
+        """A reader whose results expire meanwhile gets an error, never a part."""
         type(self).steps_run += 1
         job_ids = sorted(self.known_jobs)
         if not job_ids:
@@ -253,32 +259,32 @@
             job = self.jobs.get("org", job_id).job
             committed = self.jobs.count(job).completed
             parts = []
-            self._overtake(sweeps_at == 0)
+            self._expire_results(sweeps_at == 0)
             for part in reader.read(job_id, False):
-                self._overtake(sweeps_at == 1)
+                self._expire_results(sweeps_at == 1)
                 parts.append(part)
         except (errors.JobExpired, errors.NotFound):
             known = self.known_jobs[job_id]
-            assert known.ended_ms is not None, "an open job is gone"
+            assert known.ended_ms is not None, "an open job was deleted"
             assert (
                 self.age_s(known.ended_ms) >= retention_world.RESULTS_S
-            ), "gone too early"
+            ), "the results were deleted too early"
             return
         assert len(parts) == committed, f"{len(parts)} of {committed} results"
 
-    def _overtake(self, is_wanted):
-        if is_wanted:
+    def _expire_results(self, must_expire):
+        if must_expire:
             self.clock.advance(retention_world.RESULTS_S)
             self.sweepers[0].sweep()
 
     @stateful.invariant()
     def jobs_are_kept(self):
-        self.note_jobs()
+        self.update_known_jobs()
         job_rows, chunk_rows = self.store.rows("jobs"), self.store.rows("chunks")
         for job_id, known in self.known_jobs.items():
             age_s = -1 if known.ended_ms is None else self.age_s(known.ended_ms)
             if age_s < retention_world.KEYS_S:
-                assert job_id in job_rows, f"{job_id} is forgotten after {age_s} s"
+                assert job_id in job_rows, f"{job_id} was deleted after {age_s} s"
             if age_s < retention_world.RESULTS_S:
                 assert job_rows[job_id].value["expired_ms"] is None, "expired early"
                 self.check_objects(known, job_id, chunk_rows)
@@ -288,13 +294,13 @@
         rows = self.store.rows("files")
         for file_id, record in self.known_files.items():
             if self.age_s(record.created_ms) < retention_world.INPUTS_S:
-                assert file_id in rows, f"{file_id} is gone too early"
+                assert file_id in rows, f"{file_id} was deleted too early"
                 assert rows[file_id].value["state"] == "ready", f"{file_id} is marked"
         for row in rows.values():
             record = records.decode(records.InputFile, row.value)
             if record.state == records.FileState.READY:
                 for key in records.list_segment_keys(record):
-                    assert key in self.objects.data, f"{key} of a ready file is gone"
+                    assert key in self.objects.data, f"{key} of a ready file is missing"
 
     @stateful.invariant()
     def calls_are_kept(self):
@@ -307,10 +313,10 @@
                 continue
             assert rows[f"org/{key}"].value.get("outcome") == outcome, f"{key} changed"
             name = (outcome or {}).get("object")
-            assert name is None or name in self.objects.data, f"{name} is gone"
+            assert name is None or name in self.objects.data, f"{name} is missing"
 
     def teardown(self):
-        """With a healthy platform everything is deleted in the end, orphans too."""
+        """Check that a healthy platform ends with all data deleted, also orphans."""
         self.clear()
         self.store.apply_delayed()
         for stored in self.list_open():
@@ -319,8 +325,8 @@
             self.clock.advance(2 * retention_world.KEYS_S)
             self.sweepers[0].sweep()
         for table in ("jobs", "chunks", "files", "register", "open"):
-            assert not self.store.rows(table), f"left in {table}"
-        assert not self.objects.data, f"left: {sorted(self.objects.data)}"
+            assert not self.store.rows(table), f"rows left in {table}"
+        assert not self.objects.data, f"objects left: {sorted(self.objects.data)}"
 
 
 class UnconditionalMachine(RetentionMachine):
--- a/features/support/retention_world.py
+++ b/features/support/retention_world.py
@@ -1,4 +1,4 @@
-"""Sweepers, callers and what they have to keep, for the fuzzing of retention."""
+"""Sweepers, users and a model of the data to keep, for the fuzzing of retention."""
 
 import dataclasses
 import itertools
@@ -24,12 +24,12 @@
 CHUNK_COUNT = 2
 
 
-class Died(BaseException):
-    """The sweeper's daemon ends at once."""
+class DaemonCrashed(BaseException):
+    """Raised in a sweeper's call to simulate a crash of its daemon."""
 
 
 class FaultyObjects(batch_local.MemoryObjects):
-    """An object store whose deletes fail or lose their answers as scripted."""
+    """An object store whose deletes fail or lose their responses as scripted."""
 
     def __init__(self):
         super().__init__()
@@ -45,15 +45,15 @@
 
 
 class UserStore(fuzz_register.InterruptedStore):
-    """Interrupts scans too."""
+    """Interrupts scans as well as the calls of the base class."""
 
     def scan(self, table, prefix, after="", limit=500):
         self._interrupt()
         return super().scan(table, prefix, after, limit)
 
 
-class Interruptions:
-    """Stands for the pacer and acts before one of the sweeper's calls."""
+class ScriptedPacer:
+    """Stand-in for the pacer that runs planned actions before the sweeper's calls."""
 
     def __init__(self):
         self.plan = []
@@ -68,7 +68,7 @@
     """All sweepers of one daemon."""
 
     def __init__(self, machine):
-        self.pacer = Interruptions()
+        self.pacer = ScriptedPacer()
         calls = machine.calls_class(machine.store, machine.objects, self.pacer)
         policy = decisions.Policy(machine.clock, lambda: machine.snapshot)
         self._files = file_sweeper.FileSweeper(calls, policy)
@@ -82,7 +82,7 @@
         )
 
     def sweep(self, first=0):
-        """Sweep all tables, beginning with one of them."""
+        """Sweep all tables, starting with the given one."""
         for part, shard in self._parts[first:] + self._parts[:first]:
             try:
                 part.sweep(shard)
@@ -103,7 +103,7 @@
 
 
 def make_snapshot(factor):
-    """Return a configuration whose periods are the usual ones times a factor."""
+    """Return a configuration with the default periods multiplied by a factor."""
     periods = {"results_s": RESULTS_S, "inputs_s": INPUTS_S, "keys_s": KEYS_S}
     periods = {key: factor * value for key, value in periods.items()}
     current = batch_local.make_snapshot([("127.0.0.1:1", 1)], retention=periods)
@@ -111,7 +111,7 @@
 
 
 class World(stateful.RuleBasedStateMachine):
-    """Two sweepers, two files, jobs and keys, and the oracle's lists."""
+    """Two sweepers, two files, jobs and keys, and the model of the data to keep."""
 
     calls_class = platform_calls.PlatformCalls
     chunk_count = CHUNK_COUNT
@@ -122,8 +122,8 @@
         self.store = testing.MemoryTableStore()
         self.objects = FaultyObjects()
         self.clock = clock.ManualClock(wall_ms=1_000_000)
-        self.usual_snapshot, self.long_snapshot = map(make_snapshot, (1, 1000))
-        self.snapshot = self.usual_snapshot
+        self.default_snapshot, self.long_snapshot = map(make_snapshot, (1, 1000))
+        self.snapshot = self.default_snapshot
         self.undecided = set()
         self.sweepers = [Sweeper(self), Sweeper(self)]
         self.jobs = jobs.JobService(self.store, self.clock)
@@ -168,22 +168,22 @@
             job = self.jobs.create(request)
         except errors.ApiError:
             return
-        assert job.expired_ms is None, "a job without results is given as the answer"
-        self.note_jobs()
+        assert job.expired_ms is None, "an expired job was returned"
+        self.update_known_jobs()
 
     def list_undecided(self):
-        """Return the rows for which nothing irreversible has been decided."""
+        """Return the rows without an irreversible step."""
         final = ("erasing", "expired")
-        forgettable = {("forget", key) for key in self.store.rows("jobs")}
-        return forgettable | {
+        deletable = {("forget", key) for key in self.store.rows("jobs")}
+        return deletable | {
             (table, key)
             for table in ("jobs", "files", "register")
             for key, row in self.store.rows(table).items()
             if row.value["state"] not in final and not row.value.get("expired_ms")
         }
 
-    def note_jobs(self):
-        """Learn of new jobs and ends; a new job must not run a kept key again."""
+    def update_known_jobs(self):
+        """Update the model from the jobs; a new job must not reuse a kept key."""
         for job_id, row in self.store.rows("jobs").items():
             job = records.decode_job(row).job
             known = self.known_jobs.get(job_id)
@@ -229,7 +229,7 @@
         if ending == "commit":
             size = len(claim.result_key) + 1
             chunks.commit(self.store, claim, records.Tally(1, 0, size, 0))
-            self.note_jobs()
+            self.update_known_jobs()
             self.known_jobs[stored.job.job_id].done.add(claim.key)
         elif ending == "release":
             chunks.release(self.store, claim, claim.result_key)
@@ -246,20 +246,20 @@
             jobs.finish(self.store, stored, rows, self.clock.wall_ms())
 
     def check_objects(self, known, job_id, chunk_rows):
-        assert known.done <= chunk_rows.keys(), f"chunks of {job_id} are gone"
+        assert known.done <= chunk_rows.keys(), f"chunks of {job_id} are missing"
         own = [row for key, row in chunk_rows.items() if key.startswith(f"{job_id}/")]
         done = [row.value for row in own if row.value["state"] == "done"]
         for value in done:
             found = self.objects.data.get(value["result"])
-            assert found == self.data[value["result"]], f"{value['result']} is gone"
+            assert found == self.data[value["result"]], f"{value['result']} is missing"
         if known.ended_ms is not None:
             return
         for value in (row.value for row in own):
             if value["partial"] and value["state"] != "done":
-                assert value["partial"] in self.objects.data, "a partial result is gone"
+                assert value["partial"] in self.objects.data, "partial result missing"
         for chunk in range(self.chunk_count):
             key = records.make_segment_key(known.upload, chunk)
-            assert key in self.objects.data, "the input of an open job is gone"
+            assert key in self.objects.data, "the input of an open job is missing"
 
     def clear(self):
         self.store._script.clear()
