--- a/src/endivevane/web/app.py
+++ b/src/endivevane/web/app.py
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """An authenticated HTTP request, as it is passed to a handler.
+    """An HTTP request as it is passed to a handler.
 
     :param arguments: variables of the path
     :param owner: owner of the API key; ``None`` on public routes
