--- a/features/steps/batch_decisions_steps.py
+++ b/features/steps/batch_decisions_steps.py
@@ -203,7 +203,7 @@
 def step_check_spread(context, least):
     order = picking.order_jobs(context.candidates, 1000.0, 0, {})
     firsts = {
-        picking.prefer_jobs(order.all, name, context.daemons, 512)[0].job.job_id
+        picking.rank_for_daemon(order.all, name, context.daemons, 512)[0].job.job_id
         for name in context.daemons
     }
     assert len(firsts) >= least, firsts
@@ -292,7 +292,7 @@
     assert len(held) == 1
     assert not held[0].lines, held[0].lines
     assert all(
-        item.breaks == item.refusals == 0
+        item.broken_attempts == item.refusals == 0
         for item in [*held[0].fresh, *held[0].suspects]
     )
 
@@ -378,7 +378,7 @@
         )
     hub = batch_local.Hub(batch_local.make_snapshot([("127.0.0.1:1", 8)]))
     context.inbox = []
-    context.looker = looking.Looker(
+    context.finder = looking.WorkFinder(
         settings.BatchSection(),
         context.store,
         batch_local.MemoryObjects(),
@@ -386,22 +386,22 @@
         context.clock,
         context.inbox.append,
     )
-    context.cleanups.append(context.looker.stop)
+    context.cleanups.append(context.finder.stop)
 
 
 def _look_once(context):
     context.clock.advance(20.0)
-    context.looker.list_open((), True, context.clock.monotonic_s())
+    context.finder.list_open((), True, context.clock.monotonic_s())
     batch_world.wait_until(lambda: context.inbox, 5, "no listing")
     listed = context.inbox.pop().outcome.ok_value
-    context.looker.note_listing_ended()
+    context.finder.record_listing_ended()
     for job_id in listed.ended:
-        context.looker.forget(job_id)
-    context.looker.note_open(listed, _OneModelSender())
+        context.finder.remove_job(job_id)
+    context.finder.apply_open_jobs(listed, _OneModelSender())
 
 
 def _list_own(context):
-    candidates = context.looker._order.all
+    candidates = context.finder._order.all
     return sorted(item.job.job_id for item in candidates if item.job.model == "own")
 
 
@@ -431,7 +431,7 @@
         "end", [], [store.Write("jobs", job_id, ended), store.Write("open", key, None)]
     )
     owner = chunks.Owner("d1", 1)
-    outcome = context.looker._source.claim_from(job_id, owner, set())
+    outcome = context.finder._source.claim_from(job_id, owner, set())
     assert outcome.ok_value is None
     _look_once(context)
     assert job_id not in _list_own(context)
--- a/features/support/batch_machine.py
+++ b/features/support/batch_machine.py
@@ -104,7 +104,9 @@
                 0,
             )
             self.store.transact(
-                "setup", [], [store.Write("files", record.file_id, vars_of(record))]
+                "setup",
+                [],
+                [store.Write("files", record.file_id, encode_record(record))],
             )
 
     def _make_runner(self, name):
@@ -377,7 +379,7 @@
         )
 
 
-def vars_of(record):
+def encode_record(record):
     return dataclasses.asdict(record)
 
 
--- a/src/endivevane/batch/__init__.py
+++ b/src/endivevane/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: acceptance, execution, results."""
+"""Batch jobs: files, job creation, execution and results."""
--- a/src/endivevane/batch/api.py
+++ b/src/endivevane/batch/api.py
@@ -1,4 +1,4 @@
-"""HTTP routes of files and batches, in the shape of the OpenAI HTTP API."""
+"""HTTP routes of files and batches, compatible with the OpenAI API."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from endivevane.coordination import clock, store
 from endivevane.web import app, errors
 
-_MAX_LIST = 100
-_DEFAULT_LIST = 20
+_MAX_PAGE_SIZE = 100
+_DEFAULT_PAGE_SIZE = 20
 # An upload holds up to two segments and its custom ids in memory, about 12 MB.
 _MAX_UPLOADS = 3
 _PIECE_BYTES = 64 << 10
 
 
 class BatchApi:
-    """Handlers of files and batches.
+    """Handlers of the file and batch routes.
 
-    :param max_upload_bytes: largest input file
-    :param notify_cancelled: tells all daemons of a cancelled job and waits until the
-        named owners of its chunks have stopped, within a bound
+    :param max_upload_bytes: size limit of an input file
+    :param notify_cancelled: notifies all daemons of a cancelled job and waits, with a
+        timeout, until the named owners of its chunks have stopped
     """
 
     def __init__(
@@ -61,7 +61,7 @@
 
     def _upload(self, call: app.Call) -> werkzeug.wrappers.Response:
         if not self._uploads.acquire(blocking=False):
-            text = f"{_MAX_UPLOADS} uploads are under way in this daemon"
+            text = f"{_MAX_UPLOADS} uploads are already in progress at this daemon"
             raise errors.Overloaded(text, retry_after_s=2)
         try:
             record = self._files.upload(call)
@@ -100,7 +100,7 @@
     def _delete_file(self, call: app.Call) -> werkzeug.wrappers.Response:
         file_id = str(call.arguments["file_id"])
         if results.parse_result_file_id(file_id) is not None:
-            raise errors.Conflict("results of a batch stay readable")
+            raise errors.Conflict("result files of a batch can't be deleted")
         self._files.delete(call.organisation, file_id)
         return app.make_json_response(
             {"id": file_id, "object": "file", "deleted": True}
@@ -114,7 +114,7 @@
             headers.get("Idempotency-Key", ""),
             headers.get("X-Deadline-Ms", ""),
         )
-        return self._answer_changed(self._jobs.create(request))
+        return self._respond_to_change(self._jobs.create(request))
 
     def _list_jobs(self, call: app.Call) -> werkzeug.wrappers.Response:
         after, limit = _parse_page(call)
@@ -125,7 +125,7 @@
 
     def _get_job(self, call: app.Call) -> werkzeug.wrappers.Response:
         job_id = str(call.arguments["job_id"])
-        return self._answer_job(self._jobs.get(call.organisation, job_id).job)
+        return self._make_job_response(self._jobs.get(call.organisation, job_id).job)
 
     def _cancel_job(self, call: app.Call) -> werkzeug.wrappers.Response:
         job_id = str(call.arguments["job_id"])
@@ -134,23 +134,23 @@
             owners = self._jobs.list_owners(job_id)
         except errors.ApiError as error:
             self._notify_cancelled(job_id, ())
-            raise _mark_done(error) from error
+            raise _mark_applied(error) from error
         self._notify_cancelled(job_id, owners)
-        return self._answer_changed(job)
+        return self._respond_to_change(job)
 
-    def _answer_job(self, job: records.Job) -> werkzeug.wrappers.Response:
+    def _make_job_response(self, job: records.Job) -> werkzeug.wrappers.Response:
         return app.make_json_response(describe_job(job, self._jobs.count(job)))
 
-    def _answer_changed(self, job: records.Job) -> werkzeug.wrappers.Response:
-        """Answer after the change took effect; a failed read must not deny it."""
+    def _respond_to_change(self, job: records.Job) -> werkzeug.wrappers.Response:
+        """Return the job after a change; a read error must not deny the change."""
         try:
-            return self._answer_job(job)
+            return self._make_job_response(job)
         except errors.ApiError as error:
-            raise _mark_done(error) from error
+            raise _mark_applied(error) from error
 
 
 def describe_job(job: records.Job, tally: records.Tally) -> dict[str, typing.Any]:
-    """Return the JSON of the OpenAI batch object."""
+    """Return a job as an OpenAI batch object."""
     ended_s = job.ended_ms // 1000 if job.ended_ms is not None else None
     is_kept = job.expired_ms is None
     expired_s = job.expired_ms // 1000 if job.expired_ms is not None else None
@@ -186,8 +186,8 @@
     }
 
 
-def _mark_done(error: errors.ApiError) -> errors.ApiError:
-    """Return an error that says that the request itself has taken effect."""
+def _mark_applied(error: errors.ApiError) -> errors.ApiError:
+    """Return an error that tells the caller that the change was applied."""
     return errors.Unavailable(
         f"the batch was changed, but reading it failed: {error.message}",
         run_state=types.RunState.RAN,
@@ -197,10 +197,10 @@
 
 def _parse_page(call: app.Call) -> tuple[str, int]:
     arguments = call.request.args
-    limit_text = arguments.get("limit", str(_DEFAULT_LIST))
+    limit_text = arguments.get("limit", str(_DEFAULT_PAGE_SIZE))
     if not limit_text.isdigit() or int(limit_text) == 0:
         raise errors.InvalidRequest("limit must be a positive integer", param="limit")
-    return arguments.get("after", ""), min(int(limit_text), _MAX_LIST)
+    return arguments.get("after", ""), min(int(limit_text), _MAX_PAGE_SIZE)
 
 
 def _make_list(
@@ -218,7 +218,7 @@
 
 
 def _make_stream(parts: abc.Iterator[bytes]) -> werkzeug.wrappers.Response:
-    """Return a streamed response; a failure on the first part is still an error."""
+    """Return a streamed response; an error on the first part sets the status."""
     first = next(parts, b"")
     whole = itertools.chain([first], parts)
     return werkzeug.wrappers.Response(
@@ -227,7 +227,7 @@
 
 
 def _split_parts(parts: abc.Iterable[bytes]) -> abc.Iterator[bytes]:
-    """Yield small pieces: the server moves larger ones to a temporary file."""
+    """Yield small pieces: the server spools larger ones to a temporary file."""
     for part in parts:
         for start in range(0, len(part), _PIECE_BYTES):
             yield part[start : start + _PIECE_BYTES]
--- a/src/endivevane/batch/attempts.py
+++ b/src/endivevane/batch/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a batch item at an engine."""
+"""One attempt to run a batch item on an engine."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     "Content-Type": "application/json",
     "X-Endivevane-Class": "batch",
 }
-# Statuses that speak of the moment or of this attempt rather than of the item. An
-# engine answers 404 for a model that is being loaded and 409 for a known attempt.
+# Temporary statuses, or statuses of this attempt, that say nothing about the item. An
+# engine returns 404 for a model that is being loaded and 409 for a known attempt.
 _NOT_RUN_STATUSES = frozenset({404, 408, 409, 425, 429, 503})
 _CANCELLED_STATUS = 499
 _PROBE_TIMEOUT_S = 1.0
 
 
 class Kind(enum.StrEnum):
-    """How an attempt ended; also the outcome label of the metrics."""
+    """How an attempt ended; also the outcome label of the metric."""
 
     ANSWERED = "answered"
     REJECTED = "rejected"
@@ -38,30 +38,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """The end of an attempt.
+    """The outcome of an attempt.
 
     :param status: HTTP status of ``ANSWERED`` and ``REJECTED``
-    :param body: JSON body of these
-    :param is_death: whether the engine died, of ``BROKEN``
+    :param body: JSON body of such a response
+    :param is_engine_crash: whether the engine crashed; only for ``BROKEN``
     """
 
     kind: Kind
     detail: str = ""
     status: int = 0
     body: typing.Any = None
-    is_death: bool = False
+    is_engine_crash: bool = False
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Attempt:
-    """An item on its way to an engine.
+    """An item in flight to an engine.
 
     :param job_id: job of the item
     :param number: chunk of the item
-    :param is_exclusive: whether no other batch item may run at the target meanwhile
+    :param broken_attempts: earlier attempts that broke off
+    :param refusals: earlier attempts that were refused before they ran
+    :param is_exclusive: whether no other batch item may run on the target meanwhile
     :param fingerprint: digest of the call for the quarantine
-    :param deaths: engines that died under earlier attempts
-    :param withdrawn: set when the item must not run (any more)
+    :param engine_crashes: engines that crashed during earlier attempts
+    :param withdrawn: set when the item must not be sent or must stop
     """
 
     attempt_id: str
@@ -70,19 +72,19 @@
     item: items.Item
     target: snapshot.Target
     started_s: float
-    breaks: int
+    broken_attempts: int
     refusals: int
     is_exclusive: bool
     fingerprint: str
-    deaths: int
+    engine_crashes: int
     withdrawn: threading.Event = dataclasses.field(default_factory=threading.Event)
 
 
 def send(pool: http_pool.HttpPool, attempt: Attempt) -> http_pool.SentCall | Outcome:
-    """Send the item, unless it ends before.
+    """Send the item, or return the outcome when the attempt ends before that.
 
-    A new connection is used each time: the pool would resend a request whose reused
-    connection broke, and an item that crashes engines would run twice per attempt.
+    Each call opens a new connection: the pool resends a request whose reused
+    connection broke, so an item that crashes engines would run twice per attempt.
     """
     if attempt.withdrawn.is_set():
         return Outcome(Kind.WITHDRAWN)
@@ -100,9 +102,9 @@
     attempt: Attempt,
     timeout_s: float,
 ) -> Outcome:
-    """Read the answer of an item.
+    """Read the response to an item.
 
-    :param timeout_s: limit for each wait for bytes
+    :param timeout_s: timeout of each read
     """
     outcome = call.receive(timeout_s)
     if isinstance(outcome, result.Err):
@@ -110,20 +112,20 @@
     return _interpret(attempt, outcome.ok_value)
 
 
-def give_up(attempt: Attempt, timeout_s: float) -> Outcome:
-    """Return the outcome of an item whose answer did not come in time."""
+def make_timeout_outcome(attempt: Attempt, timeout_s: float) -> Outcome:
+    """Return the outcome of an attempt without a response within the timeout."""
     if attempt.withdrawn.is_set():
         return Outcome(Kind.WITHDRAWN)
     return Outcome(
-        Kind.BROKEN, f"{attempt.target.name} gave no answer in {timeout_s:g} s"
+        Kind.BROKEN, f"{attempt.target.name} did not respond within {timeout_s:g} s"
     )
 
 
 def cancel(pool: http_pool.HttpPool, attempt: Attempt) -> None:
-    """Stop the item at the engine; the attempt then ends by itself.
+    """Cancel the item at the engine, which ends the attempt.
 
-    The call may come before the engine has seen the request, so it is repeated until
-    the attempt has ended.
+    The cancel may arrive before the request, so callers repeat it until the attempt
+    has ended.
     """
     engine.EngineClient(pool).cancel_stream(attempt.attempt_id)
 
@@ -135,15 +137,15 @@
         return Outcome(Kind.WITHDRAWN)
     if error.stage is http_pool.Stage.CONNECT:
         return Outcome(Kind.UNREACHABLE, error.format_message())
-    is_death = _is_dead(pool)
-    return Outcome(Kind.BROKEN, error.format_message(), is_death=is_death)
+    is_engine_crash = _is_engine_down(pool)
+    return Outcome(Kind.BROKEN, error.format_message(), is_engine_crash=is_engine_crash)
 
 
-def _is_dead(pool: http_pool.HttpPool) -> bool:
-    """Tell whether an engine whose connection broke answers no new one either.
+def _is_engine_down(pool: http_pool.HttpPool) -> bool:
+    """Tell whether an engine whose connection broke fails a probe too.
 
-    A process that ends may close its connections before its listening socket, so that
-    the new one is opened and breaks as well.
+    A terminating process may close its connections before its listening socket, so the
+    probe sends a request: connecting alone may still succeed.
     """
     outcome = pool.request(
         "GET", "/v1/load", timeout_s=_PROBE_TIMEOUT_S, is_repeatable=False
@@ -162,7 +164,7 @@
         body = None
     if status == 200 and isinstance(body, dict):
         return Outcome(Kind.ANSWERED, "", status, body)
-    detail = f"{attempt.target.name} answered with status {status}"
+    detail = f"{attempt.target.name} returned status {status}"
     if status in _NOT_RUN_STATUSES:
         return Outcome(Kind.REFUSED, detail)
     if 400 <= status < 500:
--- a/src/endivevane/batch/cancelling.py
+++ b/src/endivevane/batch/cancelling.py
@@ -1,4 +1,4 @@
-"""Telling the daemons that run a job that it was cancelled."""
+"""Notification of the daemons that run a cancelled job."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from endivevane.batch import messages, ports, sending
 
-# A daemon that does not answer in time learns of the cancel by its next look at the
-# open jobs; waiting longer would only delay the caller.
+# A daemon that does not reply in time sees the cancel when it next lists the open jobs;
+# a longer wait would only delay the caller.
 _STOP_WAIT_S = 1.0
 
 
 class CancelNotifier:
-    """Sends cancels and waits until the owners of claims have stopped sending.
+    """Notifies daemons of cancels and waits for the owners of claims to stop.
 
-    :param post: gives a message to the runner's thread of this daemon
+    :param post: puts a message into the inbox of this daemon's runner thread
     """
 
     def __init__(self, cluster: ports.Cluster, post: sending.Post) -> None:
@@ -24,15 +24,15 @@
         self._post = post
         self._changed = threading.Condition()
         self._waiting: dict[str, set[str]] = {}
-        # Used by the runner's thread alone.
+        # Accessed only by the runner thread.
         self._stopping: list[messages.JobCancelled] = []
         cluster.register(ports.JOB_CANCELLED, self._receive)
 
     def notify(self, job_id: str, owners: abc.Collection[str]) -> bool:
-        """Tell every live daemon; called after the cancel was written.
+        """Notify every live daemon; call this after the cancel is stored.
 
         :param owners: daemons that hold chunks of the job
-        :returns: whether all owners have said that they stopped
+        :returns: whether all owners acknowledged in time
         """
         own = self._cluster.session().daemon
         live = {member.name for member in self._cluster.live_members()} | {own}
@@ -51,17 +51,17 @@
             self._waiting.pop(job_id, None)
         return has_stopped
 
-    def note_cancelled(self, message: messages.JobCancelled) -> None:
-        """Remember a cancel to acknowledge; called by the runner's thread."""
+    def record_cancelled(self, message: messages.JobCancelled) -> None:
+        """Queue a cancel for acknowledgement; called by the runner thread."""
         self._stopping.append(message)
 
     def acknowledge_stopped(
         self, list_running_keys: abc.Callable[[], abc.Collection[tuple[str, int]]]
     ) -> None:
-        """Say that a cancelled job has stopped once its last item has ended.
+        """Acknowledge cancelled jobs whose last item has ended.
 
-        An item that a thread is about to send may reach its engine after the cancel.
-        Called by the runner's thread.
+        An earlier acknowledgement would be wrong: an item that a thread is about to
+        send may reach its engine after the cancel. Called by the runner thread.
 
         :param list_running_keys: returns (job id, chunk number) of chunks with
             running items
@@ -75,10 +75,10 @@
         self._stopping = [item for item in self._stopping if item.job_id in running]
 
     def _acknowledge(self, job_id: str, reply_to: str) -> None:
-        """Say that this daemon runs no item of a job and sends none."""
+        """Report that this daemon neither runs nor sends items of a job."""
         own = self._cluster.session().daemon
         if reply_to == own:
-            self._note_stopped(job_id, own)
+            self._record_stopped(job_id, own)
         elif reply_to:
             body = {"job_id": job_id, "stopped": True}
             self._cluster.send(reply_to, ports.JOB_CANCELLED, body)
@@ -86,12 +86,12 @@
     def _receive(self, sender: str, body: dict[str, typing.Any]) -> None:
         job_id = str(body["job_id"])
         if body.get("stopped"):
-            self._note_stopped(job_id, sender)
+            self._record_stopped(job_id, sender)
             return
         reply_to = str(body.get("reply_to", ""))
         self._post(messages.JobCancelled(job_id, reply_to))
 
-    def _note_stopped(self, job_id: str, daemon: str) -> None:
+    def _record_stopped(self, job_id: str, daemon: str) -> None:
         with self._changed:
             self._waiting.get(job_id, set()).discard(daemon)
             self._changed.notify_all()
--- a/src/endivevane/batch/chunks.py
+++ b/src/endivevane/batch/chunks.py
@@ -1,9 +1,9 @@
 """Claim, commit, takeover and release of chunks by conditional writes.
 
-The revision of the chunk row at the claim is the fencing token: a commit names it, so a
-holder that was replaced while it was paused can't commit. Every write also names the
-revision of the job row, which changes on cancel and finish only, so nothing is claimed
-or committed once a cancel has been acknowledged.
+The revision that the claim gave the chunk row is the fencing token: commits are
+conditional on it, so an owner that was replaced while it was paused can't commit. Every
+write is also conditional on the revision of the job row, which changes only on cancel
+and completion, so nothing is claimed or committed after an acknowledged cancel.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """The right to commit a chunk, as long as its row keeps the revision.
+    """The right to commit a chunk while its row keeps the revision.
 
     :param revision: revision of the chunk row, the fencing token
-    :param partial: key of the results that an earlier claim handed back
+    :param partial: key of the results that an earlier claim released
     """
 
     stored_job: records.StoredJob
@@ -50,7 +50,7 @@
 
     @property
     def result_key(self) -> str:
-        """Key of the object that holds this claim's results."""
+        """Key of the object with the results of this claim."""
         job = self.stored_job.job
         return records.make_result_key(job, self.number, self.claim_epoch)
 
@@ -68,10 +68,10 @@
     """Tell whether a chunk may be claimed.
 
     :param is_held: whether this daemon holds the chunk now
-    :param is_gone: whether an owner and epoch are dead or lapsed
+    :param is_gone: whether the session of an owner and epoch is dead or expired
 
-    A row that names this daemon although it holds no such claim comes from a claim
-    whose answer was lost; nobody else would take it over while the daemon lives.
+    A row that names this daemon without a held claim comes from a claim whose response
+    was lost; no other daemon takes it over while this one is alive.
     """
     if is_held:
         return False
@@ -95,10 +95,10 @@
     owner: Owner,
     operation_id: str,
 ) -> result.Result[Claim, store.StoreError]:
-    """Claim a chunk that is free or whose owner is gone.
+    """Claim a chunk that is unclaimed or whose owner is gone.
 
-    :param row: the row that the decision rests on; ``None`` when it is absent
-    :param operation_id: unique for this try
+    :param row: the chunk row as last read; ``None`` when it is absent
+    :param operation_id: unique to this attempt
     """
     chunk = _make_claimed_chunk(row, owner)
     job = stored_job.job
@@ -142,8 +142,9 @@
 ) -> result.Result[WriteOutcome, store.StoreError]:
     """Make the results of a claim final.
 
-    The result object must be complete before. The call may be repeated after any error:
-    the operation id is fixed per claim, so an earlier try that took effect is found.
+    The result object must be stored first. The call is idempotent and may be retried
+    after any error: the operation id is fixed per claim, so an earlier attempt that
+    took effect is recognised.
     """
     chunk = dataclasses.replace(
         _make_base(held),
@@ -160,9 +161,9 @@
 def release(
     table_store: store.TableStore, held: Claim, partial: str
 ) -> result.Result[WriteOutcome, store.StoreError]:
-    """Hand a claim back so that another daemon can take the chunk at once.
+    """Release a claim so that another daemon can claim the chunk at once.
 
-    :param partial: key of the finished part of the results; empty for none
+    :param partial: key of the results so far; empty for none
     """
     chunk = dataclasses.replace(
         _make_base(held),
@@ -173,7 +174,7 @@
 
 
 def is_all_done(rows: list[store.Row], chunk_count: int) -> bool:
-    """Tell whether every chunk of a job has a final row."""
+    """Tell whether every chunk of a job is done."""
     done = [row for row in rows if row.value["state"] == records.ChunkState.DONE]
     return len(done) == chunk_count
 
@@ -190,7 +191,7 @@
 def _write_held(
     table_store: store.TableStore, held: Claim, chunk: records.Chunk, verb: str
 ) -> result.Result[WriteOutcome, store.StoreError]:
-    """Write the chunk row under the fencing token and the job's revision."""
+    """Write the chunk row if the fencing token and the job's revision still hold."""
     job_id = held.stored_job.job.job_id
     operation_id = f"{verb}/{held.key}/{held.claim_epoch}/{held.revision}"
     outcome = store.transact_with_readback(
@@ -206,13 +207,13 @@
         return result.Ok(WriteOutcome.APPLIED)
     if not isinstance(outcome.err_value, store.StoreConflict):
         return outcome
-    return _settle_repeated(table_store, held, operation_id)
+    return _resolve_repeated(table_store, held, operation_id)
 
 
-def _settle_repeated(
+def _resolve_repeated(
     table_store: store.TableStore, held: Claim, operation_id: str
 ) -> result.Result[WriteOutcome, store.StoreError]:
-    """Tell a lost claim from an earlier call of the same write that took effect."""
+    """Distinguish a lost claim from an earlier attempt that took effect."""
     reading = table_store.read(records.CHUNKS, held.key)
     if isinstance(reading, result.Err):
         return reading
--- a/src/endivevane/batch/crash_guard.py
+++ b/src/endivevane/batch/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keeps batch items that crash engines from running again and again."""
+"""Limits how often batch items that crash engines run."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from endivevane import logs
 from endivevane.batch import attempts, items, ports, work
 
-# Items with the same call wait this long for the one that runs.
-_DUPLICATE_PAUSE_S = 0.5
+# Delay of an item while another one with the same fingerprint runs.
+_DUPLICATE_DELAY_S = 0.5
 _MAX_ANSWERED = 4096
 
 
 class CrashGuard:
-    """Asks the quarantine before each send and tells it of deaths.
+    """Checks the quarantine before each send and reports engine crashes to it.
 
-    Only one item of a fingerprint runs at a time in this daemon, so that copies in one
-    job crash one engine rather than one each. A fingerprint that was answered may run
+    This daemon runs one item per fingerprint at a time, so that copies within a job
+    crash one engine rather than one each. A fingerprint that got a response may run
     any number of times.
 
-    :param known: requests that crash targets; ``None`` admits everything
+    :param known: quarantined requests; ``None`` admits every item
     """
 
     def __init__(self, known: ports.Quarantine | None) -> None:
@@ -30,7 +30,8 @@
     def admit(self, choice: work.Choice, now_s: float) -> str | None:
         """Return the fingerprint of an item that may be sent now.
 
-        Another item is ended as failed or put back.
+        A quarantined item fails; a duplicate of a running item is postponed. The
+        result is then ``None``.
         """
         if self._known is None:
             return ""
@@ -38,7 +39,9 @@
         item = pending.item
         fingerprint = self._known.make_fingerprint(item.model, item.decode_body())
         if self._known.remaining_s(fingerprint) > 0:
-            text = "requests like this one have crashed targets; change the item"
+            text = (
+                "requests with this fingerprint have crashed targets; change the item"
+            )
             chunk.fail_item(item, items.Problem("request_quarantined", text))
             chunk.progress_at_s = now_s
             logs.warning(
@@ -46,22 +49,24 @@
             )
             return None
         if self._running[fingerprint] and fingerprint not in self._answered:
-            pending.ready_at_s = now_s + _DUPLICATE_PAUSE_S
-            # The fresh items are sent in order, so that this one would stop them.
+            pending.ready_at_s = now_s + _DUPLICATE_DELAY_S
+            # Fresh items are sent in order, so this one would block those behind it.
             chunk.suspects.append(pending)
             return None
         self._running[fingerprint] += 1
         return fingerprint
 
-    def note_ended(self, attempt: attempts.Attempt, outcome: attempts.Outcome) -> None:
-        """Take in how an attempt ended."""
+    def record_ended(
+        self, attempt: attempts.Attempt, outcome: attempts.Outcome
+    ) -> None:
+        """Record the outcome of an attempt."""
         if self._known is None:
             return
         fingerprint = attempt.fingerprint
         self._running[fingerprint] -= 1
         if self._running[fingerprint] <= 0:
             del self._running[fingerprint]
-        if outcome.is_death:
+        if outcome.is_engine_crash:
             self._known.record_death(
                 fingerprint, attempt.target.name, attempt.started_s
             )
--- a/src/endivevane/batch/failures.py
+++ b/src/endivevane/batch/failures.py
@@ -1,4 +1,4 @@
-"""Errors of the store and the object store as errors of the HTTP interface."""
+"""Conversion of errors of the stores to errors of the HTTP API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @functools.singledispatch
 def make_api_error(error: exceptions.EndivevaneError) -> errors.ApiError:
-    """Return the answer to a caller for a failure of the platform."""
+    """Return the API error for a failure of the platform."""
     return errors.Unavailable(error.format_message(), retry_after_s=_RETRY_AFTER_S)
 
 
@@ -33,7 +33,7 @@
 @make_api_error.register
 def _(error: store.StoreOutcomeUnknown) -> errors.ApiError:
     return errors.Unavailable(
-        f"{error.format_message()}; send the same request again",
+        f"{error.format_message()}; retry with the same request",
         run_state=types.RunState.MAY_HAVE_RUN,
         retry_after_s=_RETRY_AFTER_S,
     )
@@ -47,7 +47,7 @@
 def unwrap(outcome: result.Result[_T, typing.Any]) -> _T:
     """Return the value of a result.
 
-    :raises errors.ApiError: when it is an error
+    :raises errors.ApiError: for an error result
     """
     if isinstance(outcome, result.Err):
         raise make_api_error(outcome.err_value)
--- a/src/endivevane/batch/files.py
+++ b/src/endivevane/batch/files.py
@@ -1,4 +1,4 @@
-"""Input files: the OpenAI calls below ``/v1/files``."""
+"""Input files: the operations behind ``/v1/files``."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from endivevane.coordination import clock, store
 from endivevane.web import app, errors
 
-# The form parser also applies this limit to its buffer of two 64 KiB reads.
+# The form parser applies this limit also to its buffer of two 64 KiB reads.
 _MAX_FIELD_BYTES = 512 << 10
-_MAX_LIST = 100
+_MAX_PAGE_SIZE = 100
 _PAGE = 500
 _PURPOSE = "batch"
 
@@ -28,8 +28,8 @@
 class FileService:
     """Stores, lists, reads and deletes input files.
 
-    :param table_store: rows of the files
-    :param object_store: segments of the files
+    :param table_store: holds the rows of the files
+    :param object_store: holds the segments of the files
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._clock = service_clock
 
     def upload(self, call: app.Call) -> records.InputFile:
-        """Store an upload while it arrives and return its record.
+        """Stream an upload into the object store and return its record.
 
         :raises errors.ApiError: when the form is invalid or the platform fails
         """
@@ -73,7 +73,7 @@
         """Return the record of a file.
 
         :raises errors.NotFound: when the organisation has no such file
-        :raises errors.FileExpired: while it is being erased
+        :raises errors.FileExpired: while the file is being erased
         """
         record, _ = self._find(organisation, file_id)
         _check_kept(record)
@@ -82,10 +82,12 @@
     def list(
         self, organisation: str, after: str, limit: int
     ) -> tuple[list[records.InputFile], bool]:
-        """Return files in order of their identifiers and whether there are more."""
+        """Return files sorted by identifier and whether there are more."""
         prefix = "file-" + records.make_organisation_prefix(organisation)
         rows = failures.unwrap(
-            self._store.scan(records.FILES, prefix, after, min(limit, _MAX_LIST) + 1)
+            self._store.scan(
+                records.FILES, prefix, after, min(limit, _MAX_PAGE_SIZE) + 1
+            )
         )
         found = [records.decode(records.InputFile, row.value) for row in rows]
         own = [item for item in found if item.organisation == organisation]
@@ -100,9 +102,9 @@
     def delete(self, organisation: str, file_id: str) -> None:
         """Delete a file that no open job uses.
 
-        The row is marked first: a job that is created at the same time names the
-        revision of the file's row, so either the scan below sees the job or the
-        insert of the job fails.
+        The row is marked first. Job creation is conditional on the revision of the
+        file's row, so either the scan for open jobs sees a concurrent job or the
+        insert of that job fails.
 
         :raises errors.Conflict: when a job uses the file
         """
@@ -116,10 +118,10 @@
             raise
 
     def _begin_erasing(self, record: records.InputFile, revision: int) -> int:
-        """Make the erasing of a file final unless an open job uses it.
+        """Mark a file as being erased unless an open job uses it.
 
-        The second write is needed because another delete, which saw an open job that
-        has ended since, may have made the file ready again.
+        The second write is needed because a concurrent delete, which saw an open job
+        that has ended since, may have made the file ready again.
         """
         file_id = record.file_id
         states = records.FileState
@@ -134,7 +136,7 @@
         return self._write(file_id, revision, erasing)
 
     def _erase(self, record: records.InputFile, revision: int) -> None:
-        """Delete the segments and then the row; a repeated delete goes on here."""
+        """Delete the segments, then the row; a repeated delete resumes here."""
         for key in records.list_segment_keys(record):
             failures.unwrap(self._objects.delete(key))
         outcome = self._store.transact(
@@ -147,17 +149,19 @@
     def _receive(
         self, request: werkzeug.wrappers.Request, writer: segments.SegmentWriter
     ) -> str:
-        """Feed the file of a form into the writer and return the file's name."""
+        """Write the file part of a form to the writer and return the file name."""
         mimetype, options = werkzeug.http.parse_options_header(
             request.headers.get("Content-Type", "")
         )
         if mimetype != "multipart/form-data":
-            raise errors.InvalidRequest("send the file as multipart/form-data")
+            raise errors.InvalidRequest("Content-Type must be multipart/form-data")
         names: list[str] = []
 
         def open_part(filename: str | None = None, **_: typing.Any) -> typing.Any:
             if names:
-                raise errors.InvalidRequest("send one file", param="file")
+                raise errors.InvalidRequest(
+                    "the form has more than one file", param="file"
+                )
             names.append(filename or "input.jsonl")
             return writer
 
@@ -171,7 +175,7 @@
                 request.stream, mimetype, request.content_length, options
             )
         except (ValueError, werkzeug.exceptions.HTTPException) as error:
-            raise errors.InvalidRequest(f"the form is not valid: {error}") from error
+            raise errors.InvalidRequest(f"invalid form: {error}") from error
         if "file" not in files:
             raise errors.InvalidRequest("the form has no file", param="file")
         if form.get("purpose") != _PURPOSE:
@@ -179,7 +183,7 @@
         return names[0]
 
     def _insert(self, record: records.InputFile) -> records.InputFile:
-        """Insert the row, or return the record of an earlier upload with the key."""
+        """Insert the row, or return the record of an earlier upload with this key."""
         outcome = store.transact_with_readback(
             self._store,
             utils.make_id("file"),
@@ -212,11 +216,11 @@
         if isinstance(outcome, result.Err) and isinstance(
             outcome.err_value, store.StoreConflict
         ):
-            raise errors.Conflict("the file is being changed; try again")
+            raise errors.Conflict("the file is being changed; retry the request")
         return failures.unwrap(outcome)
 
     def _find_user(self, file_id: str) -> str | None:
-        """Return the identifier of an open job that reads the file."""
+        """Return the identifier of an open job that uses the file, if any."""
         after = ""
         while True:
             rows = failures.unwrap(self._store.scan(records.OPEN, "", after, _PAGE))
@@ -237,7 +241,7 @@
 
 
 def make_file_id(organisation: str, idempotency_key: str) -> str:
-    """Return the same identifier for the same key, a new one without a key."""
+    """Return an identifier derived from the key, or a random one without a key."""
     unique = (
         utils.digest_text(organisation, idempotency_key)[:24]
         if idempotency_key
@@ -247,7 +251,7 @@
 
 
 def describe_file(record: records.InputFile) -> dict[str, typing.Any]:
-    """Return the JSON of the OpenAI file object."""
+    """Return a file as an OpenAI file object."""
     return {
         "id": record.file_id,
         "object": "file",
--- a/src/endivevane/batch/item_calls.py
+++ b/src/endivevane/batch/item_calls.py
@@ -1,7 +1,7 @@
-"""Calls of batch items in flight, whose answers one thread waits for.
+"""Calls of batch items in flight, with one thread that waits for all responses.
 
-A thread per item would mean several hundred in each daemon at the target size. Here a
-few threads send and read, which is short, and a selector does the long waiting.
+A thread per item would mean several hundred threads in each daemon at the target size.
+Instead a small pool sends and reads, which is short, and a selector waits.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from endivevane.coordination import clock
 from endivevane.external import http_pool
 
-# Connecting may take a second at a lost VM, so one must not hold up the others.
+# Connecting to a lost VM may take a second and must not block the other calls.
 _CALL_THREADS = 16
-# An engine writes an unstreamed answer in one piece.
+# An engine writes a non-streaming response in one piece.
 _READ_TIMEOUT_S = 5.0
-_LIMIT_CHECK_S = 0.5
+_TIMEOUT_CHECK_S = 0.5
 
-End = abc.Callable[[attempts.Attempt, attempts.Outcome], None]
+EndCallback = abc.Callable[[attempts.Attempt, attempts.Outcome], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Waiting:
-    """An attempt that was sent.
+class _InFlightCall:
+    """A sent attempt that waits for its response.
 
-    :param until_s: monotonic time at which it is given up
+    :param until_s: monotonic deadline of the response
     """
 
     pool: http_pool.HttpPool
@@ -43,44 +43,44 @@
 
 
 class ItemCalls:
-    """Sends items to engines and waits for their answers.
+    """Sends items to engines and waits for the responses.
 
-    :param end: called with the outcome of each attempt, on one of the threads
+    :param end: called with the outcome of each attempt, on an internal thread
     """
 
-    def __init__(self, calls_clock: clock.Clock, end: End) -> None:
+    def __init__(self, calls_clock: clock.Clock, end: EndCallback) -> None:
         self._clock = calls_clock
         self._end = end
         self._executor = concurrent.futures.ThreadPoolExecutor(
             _CALL_THREADS, "batch-item"
         )
-        self._sent: queue.SimpleQueue[_Waiting | None] = queue.SimpleQueue()
+        self._sent: queue.SimpleQueue[_InFlightCall | None] = queue.SimpleQueue()
         self._selector = selectors.DefaultSelector()
         self._wake_reader, self._wake_writer = socket.socketpair()
         self._wake_reader.setblocking(False)
         self._wake_writer.setblocking(False)
         self._selector.register(self._wake_reader, selectors.EVENT_READ)
-        self._limits_at_s = 0.0
+        self._next_timeout_check_s = 0.0
         self._thread = threading.Thread(
-            target=self._wait_for_answers, name="batch-answers", daemon=True
+            target=self._wait_for_responses, name="batch-answers", daemon=True
         )
         self._thread.start()
 
     def start(
         self, pool: http_pool.HttpPool, attempt: attempts.Attempt, timeout_s: float
     ) -> None:
-        """Begin an attempt.
+        """Start an attempt.
 
-        :param timeout_s: how long its answer may take
+        :param timeout_s: timeout of the response
         """
         self._executor.submit(self._send, pool, attempt, timeout_s)
 
     def stop(self) -> None:
-        """Give up all attempts without an outcome."""
+        """Abandon all attempts; none of them gets an outcome."""
         self._executor.shutdown(wait=False, cancel_futures=True)
         self._post(None)
 
-    # On the executor's threads
+    # Called on the executor's threads
 
     def _send(
         self, pool: http_pool.HttpPool, attempt: attempts.Attempt, timeout_s: float
@@ -88,59 +88,60 @@
         try:
             sent = attempts.send(pool, attempt)
         except Exception as error:
-            self._end_crashed(attempt, error)
+            self._report_crash(attempt, error)
             return
         if isinstance(sent, attempts.Outcome):
             self._end(attempt, sent)
             return
         until_s = self._clock.monotonic_s() + timeout_s
-        self._post(_Waiting(pool, sent, attempt, timeout_s, until_s))
+        self._post(_InFlightCall(pool, sent, attempt, timeout_s, until_s))
 
-    def _receive(self, waiting: _Waiting) -> None:
+    def _receive(self, waiting: _InFlightCall) -> None:
         try:
             outcome = attempts.receive(
                 waiting.pool, waiting.call, waiting.attempt, _READ_TIMEOUT_S
             )
         except Exception as error:
-            self._end_crashed(waiting.attempt, error)
+            self._report_crash(waiting.attempt, error)
             return
         self._end(waiting.attempt, outcome)
 
-    def _end_crashed(self, attempt: attempts.Attempt, error: Exception) -> None:
+    def _report_crash(self, attempt: attempts.Attempt, error: Exception) -> None:
         logs.error("attempt_crashed", attempt=attempt.attempt_id, error=repr(error))
         self._end(attempt, attempts.Outcome(attempts.Kind.BROKEN, repr(error)))
 
-    def _post(self, message: _Waiting | None) -> None:
+    def _post(self, message: _InFlightCall | None) -> None:
         self._sent.put(message)
         try:
             self._wake_writer.send(b"\0")
         except OSError:
-            # A full buffer wakes the thread too; a closed one means that it has ended.
+            # A full buffer wakes the thread anyway; a closed socket means that the
+            # thread has ended.
             return
 
-    # On the waiting thread
+    # Called on the selector thread
 
-    def _wait_for_answers(self) -> None:
+    def _wait_for_responses(self) -> None:
         while True:
-            for key, _ in self._selector.select(_LIMIT_CHECK_S):
+            for key, _ in self._selector.select(_TIMEOUT_CHECK_S):
                 if key.data is None:
-                    self._drain_wake_ups()
+                    self._discard_wake_ups()
                     continue
                 self._selector.unregister(key.fileobj)
                 self._submit_receive(key.data)
-            if not self._watch_sent():
+            if not self._register_sent():
                 break
-            self._give_up_late()
+            self._expire_overdue()
         self._close()
 
-    def _drain_wake_ups(self) -> None:
+    def _discard_wake_ups(self) -> None:
         try:
             self._wake_reader.recv(4096)
         except BlockingIOError:
             return
 
-    def _watch_sent(self) -> bool:
-        """Watch the calls that were sent; return whether to go on."""
+    def _register_sent(self) -> bool:
+        """Register the sent calls; return ``False`` when the thread has to stop."""
         while not self._sent.empty():
             waiting = self._sent.get()
             if waiting is None:
@@ -150,36 +151,36 @@
                     waiting.call.sock, selectors.EVENT_READ, waiting
                 )
             except (OSError, ValueError, KeyError) as error:
-                # One bad socket must not end the wait for all other answers.
-                self._end_crashed(waiting.attempt, error)
+                # An unusable socket must not end the wait for all other responses.
+                self._report_crash(waiting.attempt, error)
         return True
 
-    def _submit_receive(self, waiting: _Waiting) -> None:
+    def _submit_receive(self, waiting: _InFlightCall) -> None:
         try:
             self._executor.submit(self._receive, waiting)
         except RuntimeError:
-            # The executor has been stopped.
+            # The executor is shut down.
             waiting.call.close()
 
-    def _give_up_late(self) -> None:
+    def _expire_overdue(self) -> None:
         now_s = self._clock.monotonic_s()
-        if now_s < self._limits_at_s:
+        if now_s < self._next_timeout_check_s:
             return
-        self._limits_at_s = now_s + _LIMIT_CHECK_S
-        for waiting in self._list_waiting():
+        self._next_timeout_check_s = now_s + _TIMEOUT_CHECK_S
+        for waiting in self._list_in_flight():
             if now_s < waiting.until_s:
                 continue
             self._selector.unregister(waiting.call.sock)
             waiting.call.close()
-            outcome = attempts.give_up(waiting.attempt, waiting.timeout_s)
+            outcome = attempts.make_timeout_outcome(waiting.attempt, waiting.timeout_s)
             self._end(waiting.attempt, outcome)
 
-    def _list_waiting(self) -> list[_Waiting]:
+    def _list_in_flight(self) -> list[_InFlightCall]:
         keys = self._selector.get_map().values()
         return [key.data for key in keys if key.data is not None]
 
     def _close(self) -> None:
-        for waiting in self._list_waiting():
+        for waiting in self._list_in_flight():
             waiting.call.close()
         self._selector.close()
         self._wake_reader.close()
--- a/src/endivevane/batch/items.py
+++ b/src/endivevane/batch/items.py
@@ -1,4 +1,4 @@
-"""Items of an input file and the lines of result files."""
+"""Items of input files and lines of result files."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """Why an item can't succeed.
+    """The reason why an item failed.
 
-    :param code: stable word for programs
-    :param message: text for people
+    :param code: stable, machine-readable code
+    :param message: description for users
     """
 
     code: str
@@ -27,11 +27,11 @@
 class Item:
     """One line of an input file.
 
-    The line is kept as it is and decoded when it is sent: decoded, the items of the
-    claimed chunks would take several times the memory.
+    The line is stored encoded and decoded on each send: decoded items of the claimed
+    chunks would take several times the memory.
 
     :param index: position among the items of its segment
-    :param model: name of the model, empty when the line is invalid
+    :param model: name of the model; empty when the line is invalid
     :param problem: set when the line is invalid; such an item is never sent
     """
 
@@ -42,7 +42,7 @@
     problem: Problem | None = None
 
     def decode_body(self) -> dict[str, typing.Any]:
-        """Return the body of the call; only for a valid item."""
+        """Return the request body; only valid items have one."""
         body: dict[str, typing.Any] = utils.decode_json(self.line)["body"]
         return body
 
@@ -56,7 +56,7 @@
 
 
 def parse_item(index: int, line: bytes) -> Item:
-    """Parse and check one line.
+    """Parse and validate one line.
 
     :param index: position among the items of its segment
     """
@@ -66,7 +66,7 @@
         problem = Problem("invalid_json", str(error))
         return Item(index, None, line, problem=problem)
     if not isinstance(value, dict):
-        problem = Problem("invalid_item", "the line must be a JSON object")
+        problem = Problem("invalid_item", "line must be a JSON object")
         return Item(index, None, line, problem=problem)
     custom_id = value.get("custom_id")
     if not isinstance(custom_id, str) or not custom_id:
@@ -83,7 +83,7 @@
 
 
 def _find_problem(value: dict[str, typing.Any]) -> Problem | None:
-    """Return what is wrong with the call that a line describes."""
+    """Return the first error in the call that a line describes, if any."""
     if value.get("method") != "POST":
         return Problem("invalid_method", "method must be POST")
     if value.get("url") != ENDPOINT:
@@ -97,10 +97,10 @@
 
 
 def parse_segment(data: bytes, duplicates: frozenset[int], model: str) -> list[Item]:
-    """Return the items of a segment, each checked.
+    """Parse and validate the items of a segment.
 
-    :param duplicates: positions whose ``custom_id`` appeared on an earlier line
-    :param model: the model that all items of the file must name
+    :param duplicates: indexes of items whose ``custom_id`` appeared on an earlier line
+    :param model: model that all items of the file must name
     """
     items: list[Item] = []
     for line in data.split(b"\n"):
@@ -108,19 +108,21 @@
             continue
         item = parse_item(len(items), line)
         if item.problem is None and item.index in duplicates:
-            problem = Problem("duplicate_custom_id", "custom_id appeared before")
+            problem = Problem(
+                "duplicate_custom_id", "custom_id is used by an earlier line"
+            )
             item = dataclasses.replace(item, problem=problem)
         if item.problem is None and item.model != model:
-            text = f"all items must name the model of the first, {model!r}"
+            text = f"all items must use the model of the first item, {model!r}"
             item = dataclasses.replace(item, problem=Problem("model_mismatch", text))
         items.append(item)
     return items
 
 
-def make_answer_line(
+def make_response_line(
     job_id: str, number: int, item: Item, request_id: str, status: int, body: typing.Any
 ) -> ResultLine:
-    """Return the line of an item that an engine has answered."""
+    """Return the result line of an item with a response of an engine."""
     line = {
         "id": _make_line_id(job_id, number, item.index),
         "custom_id": item.custom_id,
@@ -133,7 +135,7 @@
 def make_failure_line(
     job_id: str, number: int, item: Item, problem: Problem
 ) -> ResultLine:
-    """Return the line of an item that has failed without an answer."""
+    """Return the result line of an item that failed without a response."""
     line = {
         "id": _make_line_id(job_id, number, item.index),
         "custom_id": item.custom_id,
@@ -144,10 +146,10 @@
 
 
 def encode_results(lines: dict[int, ResultLine]) -> bytes:
-    """Return a result object: one line per ended item in input order.
+    """Return the bytes of a result object: one line per ended item in input order.
 
-    Each line starts with its position and ``+`` for the output file or ``-`` for the
-    error file, so that reading back needs no parsing of the JSON.
+    Each line starts with the index of its item and ``+`` for the output file or ``-``
+    for the error file, so that reading it needs no JSON parsing.
     """
     parts: list[bytes] = []
     for index in sorted(lines):
@@ -158,7 +160,7 @@
 
 
 def decode_results(data: bytes) -> dict[int, ResultLine]:
-    """Return the lines of a result object by position.
+    """Return the lines of a result object by item index.
 
     :raises ValueError: when the data is not a result object
     """
--- a/src/endivevane/batch/jobs.py
+++ b/src/endivevane/batch/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs: create, read, cancel and finish, each one conditional write."""
+"""Jobs: creation, reads, cancellation and completion by conditional writes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 _MAX_METADATA = 16
 _MAX_WINDOW_MS = 30 * _UNIT_MS["d"]
 _PAGE = 500
-_CREATE_TRIES = 3
+_MAX_CREATE_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,21 +44,25 @@
     idempotency_key: str,
     deadline_text: str,
 ) -> JobRequest:
-    """Check the body of a create call.
+    """Validate the body of a create call.
 
-    :param deadline_text: value of ``X-Deadline-Ms``, empty when absent
-    :raises errors.InvalidRequest: with the name of the wrong parameter
+    :param deadline_text: value of ``X-Deadline-Ms``; empty when absent
+    :raises errors.InvalidRequest: with the name of the invalid parameter
     """
     file_id = body.get("input_file_id")
     if not isinstance(file_id, str) or not file_id:
-        raise errors.InvalidRequest("name an input file", param="input_file_id")
+        raise errors.InvalidRequest(
+            "input_file_id must be a non-empty string", param="input_file_id"
+        )
     if body.get("endpoint") != items.ENDPOINT:
         text = f"endpoint must be {items.ENDPOINT}"
         raise errors.InvalidRequest(text, param="endpoint")
     window = body.get("completion_window", "24h")
     match = _WINDOW.match(window) if isinstance(window, str) else None
     if match is None:
-        text = "completion_window must be a number and s, m, h or d, such as 24h"
+        text = (
+            "completion_window must be a number with the unit s, m, h or d, such as 24h"
+        )
         raise errors.InvalidRequest(text, param="completion_window")
     window_ms = int(match[1]) * _UNIT_MS[match[2]]
     if deadline_text:
@@ -80,7 +84,7 @@
 
 
 def make_job_id(request: JobRequest) -> str:
-    """Return the same identifier for the same request, sent to whichever daemon."""
+    """Return the identifier of a job, which is equal for equal requests."""
     if request.idempotency_key:
         digest = utils.digest_text("key", request.organisation, request.idempotency_key)
     else:
@@ -97,9 +101,9 @@
 
 
 class JobService:
-    """Creates, reads, cancels and finishes jobs.
+    """Creates, reads and cancels jobs.
 
-    :param table_store: rows of files, jobs and chunks
+    :param table_store: holds the rows of files, jobs and chunks
     """
 
     def __init__(
@@ -109,12 +113,12 @@
         self._clock = service_clock
 
     def create(self, request: JobRequest) -> records.Job:
-        """Insert a job, or return the one that the same request made before.
+        """Create a job, or return the job that an equal request has created.
 
         :raises errors.ApiError: when the file can't be used or the store fails
         """
         job_id = make_job_id(request)
-        for _ in range(_CREATE_TRIES):
+        for _ in range(_MAX_CREATE_ATTEMPTS):
             earlier = failures.unwrap(self._store.read(records.JOBS, job_id))
             if earlier is not None:
                 found = records.decode_job(earlier).job
@@ -123,13 +127,13 @@
             job = self._insert(request, job_id)
             if job is not None:
                 return job
-        raise errors.Unavailable("the file is being changed; try again")
+        raise errors.Unavailable("the file is being changed; retry the request")
 
     def get(self, organisation: str, job_id: str) -> records.StoredJob:
         """Return a job of the organisation.
 
-        :raises errors.NotFound: when it has no such job
-        :raises errors.JobExpired: when its results are no longer kept
+        :raises errors.NotFound: when the organisation has no such job
+        :raises errors.JobExpired: when the retention of its results has ended
         """
         row = failures.unwrap(self._store.read(records.JOBS, job_id))
         if row is None or row.value["organisation"] != organisation:
@@ -141,7 +145,7 @@
     def list(
         self, organisation: str, after: str, limit: int
     ) -> tuple[list[records.Job], bool]:
-        """Return jobs in order of their identifiers and whether there are more."""
+        """Return jobs sorted by identifier and whether there are more."""
         prefix = "batch_" + records.make_organisation_prefix(organisation)
         rows = failures.unwrap(self._store.scan(records.JOBS, prefix, after, limit + 1))
         found = [records.decode_job(row).job for row in rows]
@@ -149,7 +153,7 @@
         return own[:limit], len(rows) > limit
 
     def cancel(self, organisation: str, job_id: str) -> records.Job:
-        """Cancel a job; once this returns, nothing is claimed or committed.
+        """Cancel a job; no chunk is claimed or committed after this returns.
 
         :raises errors.Conflict: when the job has completed
         """
@@ -171,12 +175,12 @@
         return stored.job
 
     def count(self, job: records.Job) -> records.Tally:
-        """Return the committed items of a job."""
+        """Return the tally of the committed items of a job."""
         if job.tally is not None:
             return records.decode(records.Tally, dict(job.tally))
         rows = failures.unwrap(scan_chunks(self._store, job.job_id))
         if job.state != records.JobState.IN_PROGRESS:
-            # The rows may have been deleted meanwhile; the job's row then has a tally.
+            # Retention may have deleted the chunk rows; the job row then has the tally.
             row = failures.unwrap(self._store.read(records.JOBS, job.job_id))
             if row is not None and row.value["tally"] is not None:
                 return records.decode(records.Tally, row.value["tally"])
@@ -185,7 +189,7 @@
         )
 
     def list_owners(self, job_id: str) -> set[str]:
-        """Return the daemons that hold chunks of a job."""
+        """Return the daemons that hold claims on chunks of a job."""
         rows = failures.unwrap(scan_chunks(self._store, job_id))
         found = [records.decode(records.Chunk, row.value) for row in rows]
         return {
@@ -193,7 +197,7 @@
         }
 
     def _insert(self, request: JobRequest, job_id: str) -> records.Job | None:
-        """Insert the rows; return ``None`` when another writer was faster."""
+        """Insert the rows of a job; return ``None`` on a conflicting write."""
         row = failures.unwrap(self._store.read(records.FILES, request.input_file_id))
         if row is None or row.value["organisation"] != request.organisation:
             raise errors.NotFound(f"there is no file {request.input_file_id}")
@@ -250,7 +254,7 @@
 
 
 def check_kept(job: records.Job) -> None:
-    """Refuse a call about a job whose results are no longer kept.
+    """Reject a call for a job whose results are past their retention.
 
     :raises errors.JobExpired: with the run state of the job
     """
@@ -267,7 +271,7 @@
 def scan_chunks(
     table_store: store.TableStore, job_id: str, after: str = ""
 ) -> result.Result[list[store.Row], store.StoreError]:
-    """Return the chunk rows of a job in order."""
+    """Return the chunk rows of a job sorted by number."""
     rows: list[store.Row] = []
     while True:
         page = table_store.scan(records.CHUNKS, f"{job_id}/", after, _PAGE)
@@ -287,7 +291,7 @@
 ) -> result.Result[chunks.WriteOutcome, store.StoreError]:
     """Complete a job whose chunks are all done.
 
-    :param rows: the chunk rows; a done row is final, so an old scan is good enough
+    :param rows: the chunk rows; done rows are final, so a stale scan is sufficient
     """
     if not chunks.is_all_done(rows, stored.job.chunk_count):
         raise ValueError(f"job {stored.job.job_id} has chunks that are not done")
@@ -306,7 +310,7 @@
 def end_job(
     table_store: store.TableStore, stored: records.StoredJob, ended: records.Job
 ) -> result.Result[chunks.WriteOutcome, store.StoreError]:
-    """Write the final row of a job and delete its ``open`` row."""
+    """Write the final state of a job and delete its ``open`` row."""
     job_id = ended.job_id
     outcome = store.transact_with_readback(
         table_store,
--- a/src/endivevane/batch/looking.py
+++ b/src/endivevane/batch/looking.py
@@ -1,4 +1,4 @@
-"""Looking for work: the open jobs in order, claims and their items."""
+"""Search for work: ordering of the open jobs, claims and loading of items."""
 
 from __future__ import annotations
 
@@ -22,34 +22,35 @@
 from endivevane.coordination import clock, store
 from endivevane.daemon import settings
 
-# Each job that is looked at costs up to two reads.
-_JOBS_PER_LOOK = 8
-# Every so many looks, jobs that can't end in time go first, so that they get a share.
-_LATE_TURN = 4
-_LOAD_PAUSE_S = 1.0
-# A busy daemon looks for more urgent jobs this often; an idle one at every poll.
-_BUSY_PAGE_S = 10.0
-# Rendezvous ranks over all daemons are computed for so many jobs per look.
-_JOBS_RANKED = 16
-_JOBS_RETAINED = 100
-# Jobs without a free chunk are looked at again after this time; the death of a daemon
-# ends it.
+# Each job that is checked costs up to two reads.
+_JOBS_PER_SEARCH = 8
+# Every this many searches, jobs that will miss their deadline go first, so that they
+# are not starved.
+_LATE_JOBS_INTERVAL = 4
+_LOAD_RETRY_S = 1.0
+# A busy daemon lists the open jobs this often; an idle one at every poll.
+_BUSY_LIST_INTERVAL_S = 10.0
+# Limits the rendezvous ranks over all daemons that one search computes.
+_MAX_RANKED_JOBS = 16
+_MAX_RETAINED_JOBS = 100
+# Jobs without a claimable chunk are skipped for this time, or until the membership
+# changes.
 _SKIP_S = 2.0
-# Each daemon reads less often in a large fleet, since some daemon reads every 30 ms: at
-# 340 daemons every 10 s, which keeps what an idle daemon reads near 3 KB/s (estimate).
-_INTERVAL_PER_DAEMON_S = 0.03
-# Jobs that have ended are remembered, since a look that began before may still bring a
-# chunk of one.
-_KEPT_ENDED = 1000
-_ITEM_S = 2.0
+# The interval grows with the fleet, so that one daemon lists the open jobs every 30 ms:
+# each of 340 daemons every 10 s, an estimated 3 KB/s of reads per idle daemon.
+_LIST_INTERVAL_PER_DAEMON_S = 0.03
+# Ended jobs are remembered, because a search in progress may still return a chunk of
+# one.
+_MAX_ENDED_JOBS = 1000
+_DEFAULT_ITEM_S = 2.0
 
 
-class Looker:
-    """Finds and claims chunks in a thread of its own.
+class WorkFinder:
+    """Finds and claims chunks on a thread of its own.
 
-    Public methods are called by the runner's thread.
+    Public methods are called by the runner thread.
 
-    :param post: gives a message to the runner's thread
+    :param post: puts a message into the inbox of the runner thread
     """
 
     def __init__(
@@ -58,45 +59,45 @@
         table_store: store.TableStore,
         object_store: ports.ObjectStore,
         cluster: ports.Cluster,
-        looker_clock: clock.Clock,
+        finder_clock: clock.Clock,
         post: sending.Post,
     ) -> None:
         self._settings = batch_settings
         self._cluster = cluster
-        self._clock = looker_clock
+        self._clock = finder_clock
         self._post = post
         self._source = work_source.WorkSource(
-            table_store, object_store, cluster.is_gone, looker_clock
+            table_store, object_store, cluster.is_gone, finder_clock
         )
         self._risks = picking.RiskReporter()
         self._executor = concurrent.futures.ThreadPoolExecutor(1, "batch-look")
         self._order = picking.Order((), ())
         self._ranks: dict[str, int] = {}
         self._reclaiming: set[tuple[str, int]] = set()
-        self._unloaded: list[chunks.Claim] = []
+        self._claims_to_load: list[chunks.Claim] = []
         self._ended: dict[str, None] = {}
         self.is_listing = False
-        self.is_looking = False
-        self._look_at_s = 0.0
-        self._look_count = 0
+        self.is_searching = False
+        self._next_search_s = 0.0
+        self._search_count = 0
         self._retained: dict[str, records.OpenJob] = {}
-        self._paged_at_s = -_BUSY_PAGE_S
-        self._load_at_s = 0.0
+        self._listed_at_s = -_BUSY_LIST_INTERVAL_S
+        self._load_retry_at_s = 0.0
         self._skipped: dict[str, float] = {}
 
     @property
     def has_candidates(self) -> bool:
-        """Whether there are open jobs to look at."""
+        """Whether there are open jobs to search."""
         return bool(self._ranks)
 
     def get_rank(self, job: records.Job) -> tuple[int, int]:
-        """Return the place of a job in the order of work; lower goes first."""
+        """Return the sort key of a job in the order of work; lower goes first."""
         return self._ranks.get(job.job_id, len(self._ranks)), job.deadline_ms
 
     def list_open(
         self, active: abc.Collection[str], is_idle: bool, now_s: float
     ) -> None:
-        """Read the open jobs; :class:`messages.OpenListed` follows.
+        """Read the open jobs and post :class:`messages.OpenJobsListed`.
 
         :param active: jobs of held chunks
         :param is_idle: whether items of other chunks could be sent at once
@@ -104,39 +105,41 @@
         if self.is_listing:
             return
         self.is_listing = True
-        interval_s = self._compute_interval_s() if is_idle else _BUSY_PAGE_S
-        needs_page = now_s >= self._paged_at_s + interval_s
+        interval_s = self._compute_interval_s() if is_idle else _BUSY_LIST_INTERVAL_S
+        needs_page = now_s >= self._listed_at_s + interval_s
         if needs_page:
-            self._paged_at_s = now_s
+            self._listed_at_s = now_s
 
         def read() -> None:
             outcome: result.Result[work_source.OpenJobs, store.StoreError]
-            outcome = result.Err(store.StoreUnavailable("the look crashed"))
+            outcome = result.Err(
+                store.StoreUnavailable("the search for open jobs crashed")
+            )
             try:
                 outcome = self._source.list_open(active, needs_page)
             finally:
-                self._post(messages.OpenListed(outcome))
+                self._post(messages.OpenJobsListed(outcome))
 
         self._submit(read)
 
-    def note_listing_ended(self) -> None:
+    def record_listing_ended(self) -> None:
         """Allow the next listing."""
         self.is_listing = False
 
-    def note_open(
+    def apply_open_jobs(
         self, listed: work_source.OpenJobs, sender: sending.ItemSender
     ) -> None:
-        """Order the open jobs and report those at risk."""
+        """Update the order of the open jobs and report those at risk."""
         if listed.jobs is None:
             return
         now_ms = self._clock.wall_ms()
         weights = self._get_weights()
         candidates = [
             picking.Candidate(job, listed.items_left.get(job.job_id, job.item_count))
-            for job in self._retain(listed.jobs, sender)
+            for job in self._merge_retained(listed.jobs, sender)
             if job.job_id not in self._ended
         ]
-        rate = sender.estimate_items_per_s(_ITEM_S)
+        rate = sender.estimate_items_per_s(_DEFAULT_ITEM_S)
         self._skipped = {
             job_id: until_s
             for job_id, until_s in self._skipped.items()
@@ -144,19 +147,19 @@
         }
         self._order = picking.order_jobs(candidates, rate, now_ms, weights)
         self._ranks = {
-            item.job.job_id: place for place, item in enumerate(self._order.all)
+            item.job.job_id: rank for rank, item in enumerate(self._order.all)
         }
         names = [member.name for member in self._cluster.live_members()]
         daemon = self._cluster.session().daemon
         self._risks.report(self._order, rate, now_ms, daemon, names)
 
-    def _retain(
+    def _merge_retained(
         self, listed: abc.Sequence[records.OpenJob], sender: sending.ItemSender
     ) -> list[records.OpenJob]:
-        """Return the listed jobs and those seen before that this daemon can run.
+        """Return the listed jobs and the earlier ones that this daemon can run.
 
-        The pages of one look show a part of the open jobs only. Retained jobs let the
-        daemons that serve a model take over each other's chunks within seconds.
+        One listing covers only a part of the open jobs. Retained jobs let the daemons
+        that serve a model take over each other's chunks within seconds.
         """
         for job in listed:
             service = sender.find_service(job)
@@ -165,28 +168,28 @@
         kept = sorted(
             (job for job in self._retained.values() if job.job_id not in self._ended),
             key=lambda job: job.deadline_ms,
-        )[:_JOBS_RETAINED]
+        )[:_MAX_RETAINED_JOBS]
         self._retained = {job.job_id: job for job in kept}
         return list({job.job_id: job for job in [*listed, *kept]}.values())
 
-    def look(
+    def find_work(
         self,
         held: abc.Mapping[tuple[str, int], work.HeldChunk],
         sender: sending.ItemSender,
         now_s: float,
     ) -> None:
-        """Claim a chunk if there is room; :class:`messages.LookEnded` follows."""
-        if self.is_looking or now_s < self._look_at_s:
+        """Claim a chunk if capacity is left; posts :class:`messages.SearchEnded`."""
+        if self.is_searching or now_s < self._next_search_s:
             return
         session = self._cluster.session()
         owner = chunks.Owner(session.daemon, session.epoch)
-        unloaded = {
-            (item.stored_job.job.job_id, item.number) for item in self._unloaded
+        keys_to_load = {
+            (item.stored_job.job.job_id, item.number) for item in self._claims_to_load
         }
-        keys = set(held) | unloaded
-        if self._unloaded:
-            claim = self._unloaded.pop()
-            self.is_looking = True
+        keys = set(held) | keys_to_load
+        if self._claims_to_load:
+            claim = self._claims_to_load.pop()
+            self.is_searching = True
             self._submit(lambda: self._load(claim))
             return
         if len(held) >= self._settings.buffered_chunks:
@@ -194,29 +197,29 @@
         wanted = self._choose_jobs(held, sender, owner.daemon, now_s)
         if not wanted:
             return
-        self.is_looking = True
-        self._look_count += 1
+        self.is_searching = True
+        self._search_count += 1
         max_age_s = max(_SKIP_S, self._compute_interval_s())
-        self._submit(lambda: self._look(wanted, owner, keys, max_age_s))
+        self._submit(lambda: self._search(wanted, owner, keys, max_age_s))
 
-    def note_ended(self, message: messages.LookEnded, now_s: float) -> None:
-        """Plan the next look after one has ended."""
-        self.is_looking = False
+    def record_ended(self, message: messages.SearchEnded, now_s: float) -> None:
+        """Schedule the next search after one has ended."""
+        self.is_searching = False
         for job_id in message.skipped:
             self._skipped[job_id] = now_s + max(_SKIP_S, self._compute_interval_s())
         if message.loaded is not None:
-            self._look_at_s = now_s
+            self._next_search_s = now_s
             return
-        self._look_at_s = now_s + self._settings.poll_interval_s / 2
+        self._next_search_s = now_s + self._settings.poll_interval_s / 2
         if message.claim is not None:
-            # Other jobs go on meanwhile: one lost segment must not stop them.
-            self._unloaded.append(message.claim)
-            self._load_at_s = now_s + _LOAD_PAUSE_S
+            # Loading is retried later: one lost segment must not block other jobs.
+            self._claims_to_load.append(message.claim)
+            self._load_retry_at_s = now_s + _LOAD_RETRY_S
         if message.error is not None:
             logs.warning("look_failed", error=message.error.format_message())
 
     def reclaim(self, claim: chunks.Claim, owner: chunks.Owner) -> None:
-        """Renew a claim; :class:`messages.Reclaimed` follows."""
+        """Renew a claim and post :class:`messages.Reclaimed`."""
         key = claim.stored_job.job.job_id, claim.number
         if key in self._reclaiming:
             return
@@ -231,7 +234,7 @@
 
         self._submit(renew)
 
-    def note_reclaimed(self, key: tuple[str, int]) -> None:
+    def record_reclaimed(self, key: tuple[str, int]) -> None:
         """Allow the next renewal of a claim."""
         self._reclaiming.discard(key)
 
@@ -241,38 +244,40 @@
         def finish() -> None:
             outcome = self._source.finish_if_done(job_id)
             if isinstance(outcome, result.Err):
-                # The next look at the job finishes it.
+                # The next search that checks the job finishes it.
                 text = outcome.err_value.format_message()
                 logs.warning("finish_failed", job_id=job_id, error=text)
 
         self._submit(finish)
 
-    def forget(self, job_id: str) -> None:
-        """Take a job that has ended out of the order."""
+    def remove_job(self, job_id: str) -> None:
+        """Remove an ended job from the order."""
         self._ended[job_id] = None
-        while len(self._ended) > _KEPT_ENDED:
+        while len(self._ended) > _MAX_ENDED_JOBS:
             del self._ended[next(iter(self._ended))]
         self._ranks.pop(job_id, None)
         self._order = picking.Order(
             tuple(item for item in self._order.on_time if item.job.job_id != job_id),
             tuple(item for item in self._order.late if item.job.job_id != job_id),
         )
-        self._unloaded = [
-            item for item in self._unloaded if item.stored_job.job.job_id != job_id
+        self._claims_to_load = [
+            item
+            for item in self._claims_to_load
+            if item.stored_job.job.job_id != job_id
         ]
 
     def has_ended(self, job_id: str) -> bool:
         """Tell whether a job is known to have ended."""
         return job_id in self._ended
 
-    def note_members_changed(self) -> None:
-        """Look at all chunk rows again, since an owner may be gone."""
+    def handle_members_changed(self) -> None:
+        """Read all chunk rows again, because an owner may be gone."""
         self._submit(self._source.forget_exhausted)
         self._skipped.clear()
-        self._look_at_s = 0.0
+        self._next_search_s = 0.0
 
     def stop(self) -> None:
-        """Let go of the thread."""
+        """Shut down the executor without waiting."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _submit(self, call: abc.Callable[[], None]) -> None:
@@ -281,14 +286,14 @@
                 call()
             except Exception as error:
                 logs.error("look_crashed", error=repr(error))
-                self._post(messages.LookEnded())
+                self._post(messages.SearchEnded())
 
         self._executor.submit(run)
 
     def _compute_interval_s(self) -> float:
-        """Return the time between two reads of the same rows by this daemon."""
+        """Return the minimum interval between two reads of the same rows."""
         daemons = len(self._cluster.live_members())
-        return max(0.0, _INTERVAL_PER_DAEMON_S * daemons)
+        return max(0.0, _LIST_INTERVAL_PER_DAEMON_S * daemons)
 
     def _get_weights(self) -> dict[str, float]:
         organisations = self._cluster.snapshot().organisations
@@ -301,10 +306,10 @@
         daemon: str,
         now_s: float,
     ) -> list[picking.Candidate]:
-        """Return the jobs to look at, best first.
+        """Return the jobs to search for a claimable chunk, best first.
 
-        A job is looked at when its targets have room that the held items don't fill,
-        or when it goes before all chunks that are held.
+        A job qualifies when its targets have more room than the held items fill, or
+        when it ranks before every held chunk.
         """
         if self._cluster.snapshot().revision == 0:
             return []
@@ -317,12 +322,12 @@
         best_rank = min(ranks, default=len(self._ranks))
         wanted: list[picking.Candidate] = []
         for candidate in self._sort_candidates(held):
-            if len(wanted) == _JOBS_RANKED:
+            if len(wanted) == _MAX_RANKED_JOBS:
                 break
             if self._skipped.get(candidate.job.job_id, 0.0) > now_s:
                 continue
             service = sender.find_service(candidate.job)
-            if sender.is_hopeless(candidate.job):
+            if sender.is_unservable(candidate.job):
                 wanted.append(candidate)
                 continue
             if service is None or not sender.has_targets(service):
@@ -333,7 +338,9 @@
                 wanted.append(candidate)
         names = [member.name for member in self._cluster.live_members()]
         chunk_items = segments.MAX_SEGMENT_LINES
-        return picking.prefer_jobs(wanted, daemon, names, chunk_items)[:_JOBS_PER_LOOK]
+        return picking.rank_for_daemon(wanted, daemon, names, chunk_items)[
+            :_JOBS_PER_SEARCH
+        ]
 
     def _sort_candidates(
         self, held: abc.Mapping[tuple[str, int], work.HeldChunk]
@@ -343,12 +350,14 @@
         for chunk in held.values():
             name = chunk.job.organisation
             held_items[name] = held_items.get(name, 0) + chunk.item_count
-        late = picking.share_turns(order.late, held_items, self._get_weights())
-        if late and self._look_count % _LATE_TURN == _LATE_TURN - 1:
+        late = picking.interleave_by_organisation(
+            order.late, held_items, self._get_weights()
+        )
+        if late and self._search_count % _LATE_JOBS_INTERVAL == _LATE_JOBS_INTERVAL - 1:
             return [*late, *order.on_time]
         return [*order.on_time, *late]
 
-    def _look(
+    def _search(
         self,
         wanted: abc.Sequence[picking.Candidate],
         owner: chunks.Owner,
@@ -360,26 +369,26 @@
                 candidate.job.job_id, owner, held, max_age_s
             )
             if isinstance(outcome, result.Err):
-                self._post(messages.LookEnded(error=outcome.err_value))
+                self._post(messages.SearchEnded(error=outcome.err_value))
                 return
             if outcome.ok_value is not None:
                 self._load(outcome.ok_value)
                 return
         skipped = tuple(candidate.job.job_id for candidate in wanted)
-        self._post(messages.LookEnded(skipped=skipped))
+        self._post(messages.SearchEnded(skipped=skipped))
 
     def _load(self, claim: chunks.Claim) -> None:
         loaded = self._source.load(claim)
         if isinstance(loaded, result.Err):
-            self._post(messages.LookEnded(claim=claim, error=loaded.err_value))
+            self._post(messages.SearchEnded(claim=claim, error=loaded.err_value))
             return
-        self._post(messages.LookEnded(loaded=loaded.ok_value))
+        self._post(messages.SearchEnded(loaded=loaded.ok_value))
 
 
 def _count_pending(
     held: abc.Mapping[tuple[str, int], work.HeldChunk], sender: sending.ItemSender
 ) -> dict[str, int]:
-    """Return the unfinished held items by service; jobs of no service are under ""."""
+    """Return the pending items by service; the key "" is for jobs without one."""
     pending: dict[str, int] = {}
     for chunk in held.values():
         name = sender.find_service(chunk.job) or ""
--- a/src/endivevane/batch/messages.py
+++ b/src/endivevane/batch/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the runner's thread."""
+"""Messages to the runner thread."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OpenListed:
+class OpenJobsListed:
     """The open jobs were read."""
 
     outcome: result.Result[work_source.OpenJobs, store.StoreError]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LookEnded:
-    """A look for work has ended, with a chunk or without.
+class SearchEnded:
+    """A search for work has ended, with a chunk or without.
 
-    :param claim: claim whose items could not be read yet
-    :param skipped: jobs without a free chunk
+    :param claim: claim whose items could not be loaded
+    :param skipped: jobs without a claimable chunk
     """
 
     loaded: work_source.LoadedChunk | None = None
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reclaimed:
-    """A claim was renewed under a new epoch, or is lost when ``claim`` is ``None``."""
+    """A claim was renewed under a new epoch; ``claim`` is ``None`` when it is lost."""
 
     key: tuple[str, int]
     claim: chunks.Claim | None
@@ -51,9 +51,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkEnded:
-    """A try to commit or release a chunk has ended.
+    """An attempt to commit or release a chunk has ended.
 
-    :param outcome: ``None`` when it failed and must be tried again
+    :param outcome: ``None`` when it failed and has to be retried
     """
 
     chunk: work.HeldChunk
@@ -63,8 +63,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SlotsWanted:
-    """An online daemon asks for slots of a target."""
+class SlotsRequested:
+    """An online daemon requests slots on a target."""
 
     target_name: str
     slots: int
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OnlineUseReported:
-    """A daemon tells how many online requests it has at a target."""
+    """A daemon reports how many online requests it has in flight to a target."""
 
     target_name: str
     daemon: str
@@ -83,7 +83,7 @@
 class JobCancelled:
     """A job was cancelled or has ended.
 
-    :param reply_to: daemon that waits until this one has stopped; empty for none
+    :param reply_to: daemon that waits for the acknowledgement; empty for none
     """
 
     job_id: str
@@ -92,12 +92,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """Daemons have come or gone."""
+    """Daemons have joined or left."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """Take no new work, end what runs and hand back the rest.
+    """Claim nothing new, let running items end and release the rest.
 
     :param deadline_s: monotonic time at which running items are withdrawn
     """
@@ -107,16 +107,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRequested:
-    """End the task at once."""
+    """Stop the task without draining."""
 
 
 Message = (
     ItemEnded
-    | OpenListed
-    | LookEnded
+    | OpenJobsListed
+    | SearchEnded
     | Reclaimed
     | ChunkEnded
-    | SlotsWanted
+    | SlotsRequested
     | OnlineUseReported
     | JobCancelled
     | MembersChanged
--- a/src/endivevane/batch/picking.py
+++ b/src/endivevane/batch/picking.py
@@ -1,4 +1,4 @@
-"""Which job a daemon works on next."""
+"""Ordering of the open jobs by deadline and organisation."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     "Open jobs that this daemon watches, by whether they can end in time.",
     ["risk"],
 )
-# A job is reported while the rest of its window still leaves time to add capacity.
+# A job is at risk within this share of its window, which leaves time to add capacity.
 _RISK_SHARE = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An open job with an estimate of the work left.
+    """An open job with an estimate of the remaining work.
 
     :param items_left: items that are not committed
     """
@@ -36,10 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """Jobs in the order in which they should get capacity.
+    """Jobs in the order in which they get capacity.
 
-    :param on_time: jobs that can all end in time, earliest deadline first
-    :param late: jobs that can't, after the others
+    :param on_time: jobs that can all meet their deadlines, earliest deadline first
+    :param late: the other jobs, smallest first
     """
 
     on_time: tuple[Candidate, ...]
@@ -57,14 +57,14 @@
     now_ms: int,
     weights: abc.Mapping[str, float],
 ) -> Order:
-    """Order jobs so that as many as possible end in time.
+    """Order jobs so that as many as possible meet their deadlines.
 
-    Earliest deadline first alone fails under overload: a large job that can't end in
-    time would make all jobs behind it late too. As in the rule of Moore and Hodgson,
-    whenever the jobs so far don't fit, one of them is put behind the others: the
-    largest one, first of all among organisations that have more than their share.
+    Earliest deadline first alone fails under overload: a large job that misses its
+    deadline makes all jobs behind it late too. As in the Moore-Hodgson algorithm,
+    whenever the jobs so far don't fit, the largest of them is moved behind the others.
+    Jobs of organisations above their fair share are moved first.
 
-    :param items_per_s: estimate of the fleet's speed for these jobs
+    :param items_per_s: estimated throughput of the fleet
     :param weights: weights of the organisations; 1 when missing
     """
     rate = max(items_per_s, 1e-6)
@@ -99,7 +99,7 @@
     items_by_organisation: abc.Mapping[str, int],
     weights: abc.Mapping[str, float],
 ) -> Candidate:
-    """Return the largest job of the organisations above their share."""
+    """Return the largest job of the organisations above their fair share."""
     present = {item.job.organisation for item in accepted}
     total_weight = sum(weights.get(name, 1.0) for name in present)
     total_items = sum(items_by_organisation[name] for name in present)
@@ -113,17 +113,17 @@
     return max(from_above or accepted, key=lambda item: item.items_left)
 
 
-def prefer_jobs(
+def rank_for_daemon(
     candidates: abc.Sequence[Candidate],
     daemon: str,
     members: abc.Collection[str],
     chunk_items: int,
 ) -> list[Candidate]:
-    """Return the jobs that a daemon should try, best first.
+    """Return the jobs that a daemon should try to claim from, best first.
 
-    A job with few chunks left is first tried by as many daemons as it has chunks, the
-    ones with the highest rendezvous ranks; the others try it last. So daemons that
-    look at the same moment rarely collide on one claim.
+    A job with fewer chunks left than daemons is preferred by as many daemons as it has
+    chunks, chosen by rendezvous hashing; the others try it last. This keeps claims of
+    daemons that search at the same time from conflicting.
     """
     preferred: list[Candidate] = []
     others: list[Candidate] = []
@@ -133,24 +133,24 @@
         if chunks_left >= len(names):
             preferred.append(candidate)
             continue
-        near = _choose_near(candidate.job.job_id, names, chunks_left)
-        (preferred if daemon in near else others).append(candidate)
+        preferred_members = _choose_members(candidate.job.job_id, names, chunks_left)
+        (preferred if daemon in preferred_members else others).append(candidate)
     return preferred + others
 
 
-# Ranks over 340 daemons for 16 jobs at each look took 1.5 % of a core without a cache.
+# Without a cache, ranks over 340 daemons for 16 jobs per search took 1.5 % of a core.
 @functools.lru_cache(maxsize=64)
-def _choose_near(job_id: str, names: tuple[str, ...], size: int) -> frozenset[str]:
+def _choose_members(job_id: str, names: tuple[str, ...], size: int) -> frozenset[str]:
     weights = dict.fromkeys(names, 1.0)
     return frozenset(rendezvous.choose_subset(job_id, weights, size))
 
 
-def share_turns(
+def interleave_by_organisation(
     candidates: abc.Sequence[Candidate],
     held_items: abc.Mapping[str, int],
     weights: abc.Mapping[str, float],
 ) -> list[Candidate]:
-    """Return late jobs in turns over organisations, the one furthest behind first.
+    """Interleave late jobs by organisation, lowest weighted use first.
 
     :param held_items: items of claimed chunks by organisation
     """
@@ -172,10 +172,10 @@
 
 
 class RiskReporter:
-    """Reports jobs by log and metric before they are late, each once.
+    """Reports jobs at risk of missing their deadline by log and metric.
 
-    One daemon per job reports it, chosen by a hash of the job; while members change, a
-    job may be reported twice.
+    Each change of the risk is logged once. A hash of the job chooses the daemon that
+    reports it; while the membership changes, a job may be reported twice.
     """
 
     def __init__(self) -> None:
@@ -189,7 +189,7 @@
         daemon: str,
         members: abc.Collection[str],
     ) -> dict[str, str]:
-        """Report the jobs whose risk has changed; return the risk by job."""
+        """Log the jobs whose risk has changed and return the risk by job."""
         names = sorted(members) or [daemon]
         risks: dict[str, str] = {}
         items_before = 0
--- a/src/endivevane/batch/ports.py
+++ b/src/endivevane/batch/ports.py
@@ -1,4 +1,4 @@
-"""What batch work needs from the rest of the daemon."""
+"""Interfaces that batch work needs from the rest of the daemon."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Session:
-    """The daemon's own lease.
+    """The session of this daemon.
 
     :param epoch: grows each time the daemon starts or loses its lease
-    :param is_valid: whether the lease still holds on the daemon's own clock
+    :param is_valid: whether the lease is valid by the daemon's own clock
     """
 
     daemon: str
@@ -35,7 +35,7 @@
 class Member:
     """A live daemon.
 
-    :param region: empty when it is not known
+    :param region: empty when unknown
     """
 
     name: str
@@ -44,57 +44,57 @@
 
 
 class Cluster(typing.Protocol):
-    """Membership, session, configuration and messages of the daemon."""
+    """Membership, session, configuration and messaging of this daemon."""
 
     def session(self) -> Session:
-        """Return the daemon's own lease."""
+        """Return the session of this daemon."""
 
     def live_members(self) -> abc.Sequence[Member]:
-        """Return the live daemons, this one included."""
+        """Return the live daemons, including this one."""
 
     def is_gone(self, owner: str, epoch: int) -> bool:
-        """Tell whether a daemon's epoch is dead, lapsed or replaced by a higher one."""
+        """Tell whether a daemon's epoch is dead, expired or superseded."""
 
     def snapshot(self) -> snapshot.Snapshot:
-        """Return the configuration in force."""
+        """Return the current configuration."""
 
     def send(self, daemon: str, kind: str, body: dict[str, typing.Any]) -> None:
-        """Send a message to a daemon, without waiting for delivery."""
+        """Send a message to a daemon without waiting for delivery."""
 
     def register(self, kind: str, handler: MessageHandler) -> None:
-        """Call a function with sender and body of each message of a kind.
+        """Register a handler, called with sender and body of each message of a kind.
 
-        The function is called on the cluster's thread and must return fast.
+        The handler is called on the cluster's thread and must not block.
         """
 
 
 class Loads(typing.Protocol):
-    """Load reports of the engines."""
+    """Access to the load reports of the engines."""
 
     def load_report(self, target_name: str) -> engine.LoadReport | None:
-        """Return the last report of a target, ``None`` when there is none."""
+        """Return the latest report of a target, or ``None``."""
 
 
 class Quarantine(typing.Protocol):
-    """What is known of requests that crash targets."""
+    """Registry of requests that crash targets."""
 
     def make_fingerprint(self, model: str, body: dict[str, typing.Any]) -> str:
-        """Return the fingerprint of a call."""
+        """Return the fingerprint of a request."""
 
     def remaining_s(self, fingerprint: str) -> float:
-        """Return how long a fingerprint stays quarantined, zero when it is not."""
+        """Return the remaining quarantine of a fingerprint; zero when there is none."""
 
     def record_death(
         self, fingerprint: str, target_name: str, started_s: float
     ) -> None:
-        """Count the death of a target that was running the fingerprint.
+        """Record the crash of a target that was running the fingerprint.
 
-        :param started_s: monotonic time when the run began
+        :param started_s: monotonic start time of the run
         """
 
 
 class ObjectStore(typing.Protocol):
-    """The calls of :class:`objects.ObjectClient` that batch work needs."""
+    """The methods of :class:`objects.ObjectClient` that batch work uses."""
 
     def put(
         self, key: str, data: bytes, create_only: bool = False
@@ -105,9 +105,9 @@
         """Return the bytes of an object."""
 
     def delete(self, key: str) -> result.Result[None, objects.ObjectStoreError]:
-        """Delete an object; a missing one counts as deleted."""
+        """Delete an object; deleting a missing one succeeds."""
 
     def list(
         self, prefix: str
     ) -> result.Result[list[objects.ObjectInfo], objects.ObjectStoreError]:
-        """Return the objects whose key has the prefix."""
+        """Return the objects whose keys start with the prefix."""
--- a/src/endivevane/batch/records.py
+++ b/src/endivevane/batch/records.py
@@ -1,4 +1,4 @@
-"""Rows of batch work as data classes."""
+"""Data classes of the rows of batch work, and keys of rows and objects."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 class FileState(enum.StrEnum):
     """State of an input file.
 
-    No job can be created with a file that is ``DELETING``, which may become ``READY``
-    again. ``ERASING`` is final: segments are deleted in this state only.
+    Jobs can be created with ``READY`` files only. ``DELETING`` may return to ``READY``.
+    ``ERASING`` is final; segments are deleted only in this state.
     """
 
     READY = "ready"
@@ -54,9 +54,9 @@
     """An uploaded input file.
 
     :param upload: prefix of the keys of its segments in the object store
-    :param lines: items, that is lines that are not blank
-    :param model: model of the first valid item, which all items must name
-    :param duplicates: items whose ``custom_id`` appeared on an earlier line
+    :param lines: number of items, which are the non-blank lines
+    :param model: model of the first valid item, which all items must use
+    :param duplicates: number of items whose ``custom_id`` appeared on an earlier line
     """
 
     file_id: str
@@ -76,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tally:
-    """Ended items and the size of their lines in the two result files."""
+    """Numbers of ended items and sizes of their lines in the result files."""
 
     completed: int = 0
     failed: int = 0
@@ -95,14 +95,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """A batch job; while it is open its row changes on cancel and finish only.
+    """A batch job; the row of an open job changes only on cancel and completion.
 
     :param upload: prefix of the keys of the input segments
     :param tally: totals of a job that has ended
-    :param generation: part of the keys of its result objects; differs between jobs that
-        used the same identifier one after the other
-    :param collected_ms: when the objects that no chunk names were deleted
-    :param expired_ms: when the retention of the results ended; they can't be read since
+    :param generation: part of the keys of its result objects; distinguishes successive
+        jobs with the same identifier
+    :param collected_ms: when the objects that no chunk refers to were deleted
+    :param expired_ms: when the retention of the results ended, which makes them
+        unreadable
     :param erased_ms: when the results and the chunk rows were deleted
     """
 
@@ -138,9 +139,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenJob:
-    """What the ``open`` row says of a job that has not ended.
+    """The ``open`` row of a job that has not ended.
 
-    :param input_file_id: lets the delete of a file find the jobs that use it
+    :param input_file_id: lets the deletion of a file find the jobs that use it
     """
 
     job_id: str
@@ -155,10 +156,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """A part of a job that one daemon runs.
+    """A part of a job that is run by one daemon.
 
-    :param result: key of the result object, set when done
-    :param partial: key of the results that a released claim had finished
+    :param result: key of the result object; set when done
+    :param partial: key of the results that a released claim had completed
     """
 
     state: str
@@ -174,12 +175,12 @@
 
     @property
     def tally(self) -> Tally:
-        """Ended items of the chunk."""
+        """Tally of the chunk."""
         return Tally(self.completed, self.failed, self.output_bytes, self.error_bytes)
 
 
 def decode(kind: type[_T], value: dict[str, typing.Any]) -> _T:
-    """Build a data class from a row's value and ignore other fields.
+    """Return a data class built from a row's value; unknown fields are ignored.
 
     :raises TypeError: when a field without a default is missing
     """
@@ -194,7 +195,7 @@
 
 
 def decode_job(row: store.Row) -> StoredJob:
-    """Return the job of a row of the table ``jobs``."""
+    """Return the job in a row of the table ``jobs``."""
     return StoredJob(decode(Job, row.value), row.revision)
 
 
@@ -214,7 +215,7 @@
 
 
 def parse_chunk_number(key: str) -> int:
-    """Return the number in the key of a chunk row."""
+    """Return the chunk number in the key of a chunk row."""
     return int(key.rpartition("/")[2])
 
 
@@ -224,7 +225,7 @@
 
 
 def make_duplicates_key(upload: str, number: int) -> str:
-    """Return the key of the list of duplicate items of a segment."""
+    """Return the key of the object that lists the duplicates of a segment."""
     return f"{upload}/{number:06d}.duplicates"
 
 
@@ -243,17 +244,17 @@
 
 
 def make_result_key(job: Job, number: int, claim_epoch: int) -> str:
-    """Return the key of the results that one claim of a chunk produced."""
+    """Return the key of the results of one claim of a chunk."""
     return f"{make_results_prefix(job)}{number:06d}/{claim_epoch}"
 
 
 def make_organisation_prefix(organisation: str) -> str:
-    """Return the part of identifiers that lets a scan find an organisation's rows."""
+    """Return the identifier prefix by which scans find an organisation's rows."""
     return utils.digest_text(organisation)[:12]
 
 
 def sum_tallies(chunks: abc.Sequence[Chunk]) -> Tally:
-    """Return the tally over the chunks that are done."""
+    """Return the sum of the tallies of the chunks that are done."""
     total = Tally()
     for chunk in chunks:
         if chunk.state == ChunkState.DONE:
--- a/src/endivevane/batch/results.py
+++ b/src/endivevane/batch/results.py
@@ -1,4 +1,4 @@
-"""Result files of jobs, readable while the job runs and after."""
+"""Result files of jobs, readable while the job runs and afterwards."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def parse_result_file_id(file_id: str) -> tuple[str, bool] | None:
     """Return the job of a result file and whether it is the error file.
 
-    :returns: ``None`` when the identifier is not one of a result file
+    :returns: ``None`` when the identifier is not that of a result file
     """
     if not file_id.startswith("file-batch_"):
         return None
@@ -39,7 +39,7 @@
 def describe_result_file(
     job: records.Job, tally: records.Tally, is_errors: bool
 ) -> dict[str, typing.Any]:
-    """Return the JSON of the OpenAI file object of a result file."""
+    """Return a result file as an OpenAI file object."""
     ended_ms = job.ended_ms if job.ended_ms is not None else job.created_ms
     kind = "errors" if is_errors else "output"
     return {
@@ -56,8 +56,8 @@
 class ResultReader:
     """Reads committed results in input order.
 
-    :param table_store: rows of the chunks
-    :param object_store: result objects
+    :param table_store: holds the rows of jobs and chunks
+    :param object_store: holds the result objects
     """
 
     def __init__(
@@ -70,8 +70,7 @@
         """Yield the lines of a result file, one chunk at a time.
 
         :raises errors.ApiError: when the platform fails or the results expire; the
-            stream then ends without its proper end, which the caller can tell from a
-            complete one
+            stream is then truncated, which callers can tell from a complete one
         """
         after = ""
         while True:
@@ -83,7 +82,8 @@
                 if part:
                     yield part
             if len(rows) < _PAGE:
-                # Rows that were deleted meanwhile would make the result look complete.
+                # Otherwise rows deleted during the scan would make a truncated result
+                # look complete.
                 self._check_kept(job_id)
                 return
             after = rows[-1].key
@@ -91,7 +91,7 @@
     def _check_kept(self, job_id: str) -> None:
         row = failures.unwrap(self._store.read(records.JOBS, job_id))
         if row is None:
-            raise errors.JobExpired(f"batch {job_id} is no longer kept")
+            raise errors.JobExpired(f"batch {job_id} is no longer stored")
         jobs.check_kept(records.decode_job(row).job)
 
     def _read_chunk(self, row: store.Row, is_errors: bool) -> bytes:
--- a/src/endivevane/batch/runner.py
+++ b/src/endivevane/batch/runner.py
@@ -1,4 +1,4 @@
-"""The task that claims chunks, runs their items and commits the results."""
+"""Task that claims chunks, runs their items and commits the results."""
 
 from __future__ import annotations
 
@@ -29,24 +29,25 @@
 from endivevane.daemon import settings
 
 _TICK_S = 0.05
-# A chunk that this daemon can't run is handed back after this time.
+# A chunk without progress is released after this time.
 _IDLE_RELEASE_S = 20.0
 _NO_TARGET_RELEASE_S = 3.0
 _DRAIN_DEFAULT_S = 10.0
-_UPDATE_S = 0.25
-# Steps are 1 s apart at most.
-_PAUSE_S = 2.0
+_TARGET_UPDATE_S = 0.25
+# Steps are at most 1 s apart; a longer gap means that the process was paused.
+_PROCESS_PAUSE_S = 2.0
 
 
 class BatchRunner:
     """Runs batch work on behalf of one daemon.
 
-    One thread decides; calls to engines, table service and object store run in pools,
-    so that a request for slots is served at once even while the store is silent.
+    One thread makes all decisions; calls to engines, table service and object store
+    run on thread pools, so that slot requests are handled at once even while the store
+    is unresponsive.
 
-    :param cluster: membership, session, configuration and messages
+    :param cluster: membership, session, configuration and messaging
     :param loads: load reports of the engines
-    :param known_deaths: requests that crash targets; ``None`` does without
+    :param quarantine: registry of requests that crash targets; ``None`` disables it
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         cluster: ports.Cluster,
         loads: ports.Loads,
         runner_clock: clock.Clock,
-        known_deaths: ports.Quarantine | None = None,
+        quarantine: ports.Quarantine | None = None,
     ) -> None:
         self._settings = batch_settings
         self._cluster = cluster
@@ -72,9 +73,9 @@
             runner_clock,
             batch_settings.concurrent_items,
             self.post,
-            known_deaths,
+            quarantine,
         )
-        self._looker = looking.Looker(
+        self._finder = looking.WorkFinder(
             batch_settings, table_store, object_store, cluster, runner_clock, self.post
         )
         self._committer = committing.Committer(
@@ -82,34 +83,34 @@
         )
         self._notifier = cancelling.CancelNotifier(cluster, self.post)
         self._stepped_at_s = runner_clock.monotonic_s()
-        self._lists_needed = 0
-        self._update_at_s = 0.0
+        self._pending_listings = 0
+        self._target_update_at_s = 0.0
         self._members: tuple[ports.Member, ...] = ()
-        self._updated_for: tuple[object, object] = (None, None)
+        self._applied_inputs: tuple[object, object] = (None, None)
         self._thread = threading.Thread(target=self._run, name="batch", daemon=True)
         cluster.register(ports.YIELD_SLOTS, self.receive_yield)
         cluster.register(ports.ONLINE_USE, self.receive_online_use)
 
     def start(self) -> None:
-        """Start the task."""
+        """Start the runner thread if batch work is enabled."""
         if self._settings.enabled:
             self._thread.start()
 
     def post(self, message: messages.Message) -> None:
-        """Give a message to the task; may be called from any thread."""
+        """Put a message into the inbox of the runner thread; thread-safe."""
         self._inbox.put(message)
 
     def notify_cancelled(self, job_id: str, owners: abc.Collection[str] = ()) -> None:
-        """Tell all daemons that a job was cancelled and wait for the owners.
+        """Notify all daemons of a cancelled job and wait for the owners.
 
-        :param owners: daemons that hold chunks of the job
+        :param owners: daemons that hold claims on chunks of the job
         """
         self._notifier.notify(job_id, owners)
 
     def drain(self, timeout_s: float = _DRAIN_DEFAULT_S) -> None:
-        """Take no new work, hand back what is not finished and return.
+        """Stop claiming, release unfinished chunks and return.
 
-        :param timeout_s: how long running items may go on
+        :param timeout_s: time that running items have to end
         """
         if not self._thread.is_alive():
             return
@@ -118,20 +119,20 @@
         self._thread.join(timeout_s + _DRAIN_DEFAULT_S)
 
     def stop(self) -> None:
-        """End the task at once; claims are left to be taken over."""
+        """Stop the task without draining; other daemons take its claims over."""
         self.post(messages.StopRequested())
         if self._thread.is_alive():
             self._thread.join(_DRAIN_DEFAULT_S)
 
     def receive_yield(self, _sender: str, body: dict[str, typing.Any]) -> None:
-        """Take a request of an online daemon to free slots; thread-safe.
+        """Handle a request of an online daemon to free slots; thread-safe.
 
         :param body: ``target`` and ``slots``
         """
-        self.post(messages.SlotsWanted(str(body["target"]), int(body["slots"])))
+        self.post(messages.SlotsRequested(str(body["target"]), int(body["slots"])))
 
     def receive_online_use(self, sender: str, body: dict[str, typing.Any]) -> None:
-        """Take a daemon's count of online requests at a target; thread-safe.
+        """Handle a daemon's count of online requests at a target; thread-safe.
 
         :param body: ``target`` and ``in_flight``
         """
@@ -148,7 +149,7 @@
                 logs.error("batch_step_crashed", error=repr(error))
                 threading.Event().wait(_TICK_S)
         self._sender.stop()
-        self._looker.stop()
+        self._finder.stop()
         self._committer.stop()
 
     def _step(self) -> None:
@@ -162,88 +163,91 @@
         self._notifier.acknowledge_stopped(self._sender.list_running_keys)
         now_s = self._clock.monotonic_s()
         session = self._cluster.session()
-        self._notice_pause(now_s)
+        self._check_process_pause(now_s)
         if now_s >= self._poll_at_s:
             self._poll(now_s)
         self._update_targets(session.daemon, now_s)
-        self._sender.repeat_cancels()
+        self._sender.retry_cancels()
         self._renew_claims(session)
         self._end_chunks(now_s)
         if self._drain_at_s is not None:
             self._drain(now_s)
             return
-        if not self._lists_needed:
+        if not self._pending_listings:
             self._sender.send(self._sort_running())
         self._release_idle(now_s)
         if session.is_valid:
-            self._looker.look(self._held, self._sender, now_s)
+            self._finder.find_work(self._held, self._sender, now_s)
 
     def _update_targets(self, daemon: str, now_s: float) -> None:
-        """Work out the own targets again when members or configuration changed.
+        """Recompute this daemon's targets when members or configuration changed.
 
-        That takes one hash per target and daemon, about 0.2 s at the target size.
+        This takes one hash per target and daemon, about 0.2 s at the target size.
         """
-        if now_s < self._update_at_s:
+        if now_s < self._target_update_at_s:
             return
-        self._update_at_s = now_s + _UPDATE_S
+        self._target_update_at_s = now_s + _TARGET_UPDATE_S
         self._members = tuple(self._cluster.live_members())
         current = self._cluster.snapshot()
-        places = tuple((item.name, item.region) for item in self._members)
-        if current is self._updated_for[0] and places == self._updated_for[1]:
+        member_regions = tuple((item.name, item.region) for item in self._members)
+        if (
+            current is self._applied_inputs[0]
+            and member_regions == self._applied_inputs[1]
+        ):
             return
-        if places != self._updated_for[1]:
-            self._looker.note_members_changed()
-        self._updated_for = (current, places)
+        if member_regions != self._applied_inputs[1]:
+            self._finder.handle_members_changed()
+        self._applied_inputs = (current, member_regions)
         self._sender.update(current, daemon, self._members)
 
-    def _notice_pause(self, now_s: float) -> None:
-        """After a pause of the process, look at the open jobs before sending items.
+    def _check_process_pause(self, now_s: float) -> None:
+        """List the open jobs after a pause of the process, before more items are sent.
 
-        A job may have been cancelled meanwhile. While the store is down the look fails
-        and the items that were claimed go on, as without a pause.
+        A job may have been cancelled during the pause. While the store is down the
+        listing fails and the claimed items continue, as without a pause.
         """
-        if now_s - self._stepped_at_s > _PAUSE_S and self._held:
+        if now_s - self._stepped_at_s > _PROCESS_PAUSE_S and self._held:
             logs.warning("batch_paused", pause_s=now_s - self._stepped_at_s)
-            # A listing that began before the pause may have missed a cancel.
-            self._lists_needed = 2 if self._looker.is_listing else 1
+            # A listing that started before the pause may have missed a cancel.
+            self._pending_listings = 2 if self._finder.is_listing else 1
             self._poll_at_s = now_s
         self._stepped_at_s = now_s
 
     def _compute_wait_s(self) -> float:
         if self._held or self._sender.running_count:
             return _TICK_S
-        if self._looker.has_candidates or self._drain_at_s is not None:
+        if self._finder.has_candidates or self._drain_at_s is not None:
             return 2 * _TICK_S
         return max(0.0, min(1.0, self._poll_at_s - self._clock.monotonic_s()))
 
     def _poll(self, now_s: float) -> None:
-        """Read the open jobs; the jitter keeps daemons from reading together."""
+        """List the open jobs; jitter spreads the reads of the daemons."""
         interval_s = self._settings.poll_interval_s
         self._poll_at_s = now_s + interval_s * random.uniform(0.8, 1.1)
         is_idle = not any(chunk.pending_count for chunk in self._held.values())
-        self._looker.list_open({key[0] for key in self._held}, is_idle, now_s)
+        self._finder.list_open({key[0] for key in self._held}, is_idle, now_s)
 
     def _sort_running(self) -> list[work.HeldChunk]:
         running = [
             chunk for chunk in self._held.values() if chunk.phase is work.Phase.RUNNING
         ]
-        return sorted(running, key=lambda chunk: self._looker.get_rank(chunk.job))
+        return sorted(running, key=lambda chunk: self._finder.get_rank(chunk.job))
 
     def _renew_claims(self, session: ports.Session) -> None:
-        """Renew claims of an earlier epoch; others see their owner as gone."""
+        """Renew claims of an earlier epoch, whose owner other daemons see as gone."""
         if not session.is_valid:
             return
         owner = chunks.Owner(session.daemon, session.epoch)
         for chunk in self._held.values():
             if chunk.claim.owner != owner and chunk.phase is work.Phase.RUNNING:
-                self._looker.reclaim(chunk.claim, owner)
+                self._finder.reclaim(chunk.claim, owner)
 
     def _end_chunks(self, now_s: float) -> None:
         """Commit the chunks whose items have all ended."""
         for chunk in self._held.values():
             if chunk.phase is not work.Phase.RUNNING:
                 continue
-            if chunk.pending_count and self._sender.is_hopeless(chunk.job):
+            if chunk.pending_count and self._sender.is_unservable(chunk.job):
                 text = f"no service offers {chunk.job.model!r} to the organisation"
                 chunk.fail_pending(items.Problem("model_not_found", text))
             if chunk.is_complete:
@@ -252,7 +256,7 @@
         self._committer.retry(now_s)
 
     def _release_idle(self, now_s: float) -> None:
-        """Hand back chunks that other daemons can run and this one can't."""
+        """Release chunks without progress so that other daemons can run them."""
         if len(self._members) < 2:
             return
         busy = self._sender.list_running_keys()
@@ -274,16 +278,16 @@
             if chunk.phase is work.Phase.RUNNING and chunk.key not in busy:
                 chunk.phase = work.Phase.ENDING
                 self._committer.release(chunk)
-        if not self._held and not busy and not self._looker.is_looking:
+        if not self._held and not busy and not self._finder.is_searching:
             self._is_stopped = True
 
-    def _drop_job(self, job_id: str) -> None:
-        """Stop all items of a job that has ended."""
+    def _stop_job(self, job_id: str) -> None:
+        """Drop the chunks and withdraw the items of an ended job."""
         keys = {key for key in self._held if key[0] == job_id}
         for key in keys:
             del self._held[key]
         self._sender.withdraw(keys)
-        self._looker.forget(job_id)
+        self._finder.remove_job(job_id)
         if keys:
             logs.info("job_dropped", job_id=job_id, chunks=len(keys))
 
@@ -299,37 +303,37 @@
     @_handle.register
     def _(self, message: messages.ItemEnded) -> None:
         attempt = message.attempt
-        self._sender.note_ended(attempt, message.outcome)
+        self._sender.record_ended(attempt, message.outcome)
         chunk = self._held.get((attempt.job_id, attempt.number))
         if chunk is None or chunk.phase is not work.Phase.RUNNING:
             return
-        # The chunk may have been dropped and claimed again in between.
+        # The chunk may have been dropped and claimed again meanwhile.
         if attempt.item.index in chunk.lines:
             return
         limit = self._get_max_attempts(chunk.job)
         now_s = self._clock.monotonic_s()
-        settling.settle_item(chunk, attempt, message.outcome, now_s, limit)
+        settling.resolve_item(chunk, attempt, message.outcome, now_s, limit)
 
     @_handle.register
-    def _(self, message: messages.OpenListed) -> None:
-        self._looker.note_listing_ended()
-        self._lists_needed = max(0, self._lists_needed - 1)
+    def _(self, message: messages.OpenJobsListed) -> None:
+        self._finder.record_listing_ended()
+        self._pending_listings = max(0, self._pending_listings - 1)
         if isinstance(message.outcome, result.Err):
             text = message.outcome.err_value.format_message()
             logs.warning("open_jobs_not_read", error=text)
             return
         self._committer.retry_now()
         listed = message.outcome.ok_value
-        self._looker.note_open(listed, self._sender)
+        self._finder.apply_open_jobs(listed, self._sender)
         for job_id in listed.ended:
-            self._drop_job(job_id)
+            self._stop_job(job_id)
 
     @_handle.register
-    def _(self, message: messages.LookEnded) -> None:
+    def _(self, message: messages.SearchEnded) -> None:
         now_s = self._clock.monotonic_s()
-        self._looker.note_ended(message, now_s)
+        self._finder.record_ended(message, now_s)
         loaded = message.loaded
-        if loaded is not None and not self._looker.has_ended(
+        if loaded is not None and not self._finder.has_ended(
             loaded.claim.stored_job.job.job_id
         ):
             chunk = work.HeldChunk(loaded, now_s)
@@ -337,7 +341,7 @@
 
     @_handle.register
     def _(self, message: messages.Reclaimed) -> None:
-        self._looker.note_reclaimed(message.key)
+        self._finder.record_reclaimed(message.key)
         chunk = self._held.get(message.key)
         if chunk is None or message.error is not None:
             return
@@ -354,26 +358,26 @@
         if self._held.get(key) is message.chunk:
             del self._held[key]
         if message.outcome is chunks.WriteOutcome.APPLIED and not message.is_release:
-            self._looker.finish_if_done(key[0])
+            self._finder.finish_if_done(key[0])
 
     @_handle.register
-    def _(self, message: messages.SlotsWanted) -> None:
+    def _(self, message: messages.SlotsRequested) -> None:
         self._sender.yield_slots(message.target_name, message.slots)
 
     @_handle.register
     def _(self, message: messages.OnlineUseReported) -> None:
-        self._sender.note_online_use(
+        self._sender.apply_online_use(
             message.target_name, message.daemon, message.in_flight
         )
 
     @_handle.register
     def _(self, message: messages.JobCancelled) -> None:
-        self._drop_job(message.job_id)
-        self._notifier.note_cancelled(message)
+        self._stop_job(message.job_id)
+        self._notifier.record_cancelled(message)
 
     @_handle.register
     def _(self, message: messages.MembersChanged) -> None:
-        self._looker.note_members_changed()
+        self._finder.handle_members_changed()
 
     @_handle.register
     def _(self, message: messages.DrainRequested) -> None:
--- a/src/endivevane/batch/segments.py
+++ b/src/endivevane/batch/segments.py
@@ -1,4 +1,4 @@
-"""Splitting of an upload into segments while it arrives."""
+"""Streaming split of an upload into segments."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 _MAX_LINE_BYTES = 1 << 20
 _MAX_LINES = 1_000_000
 _PUT_ATTEMPTS = 3
-_PUT_PAUSE_S = 0.2
+_PUT_BACKOFF_S = 0.2
 
 
-class SeenTexts:
-    """A set of texts by 64-bit hash, 8 to 16 bytes each.
+class TextHashSet:
+    """A set of 64-bit text hashes with open addressing, 16 to 32 bytes per text.
 
-    A Python set of 260,000 custom ids takes about 40 MB; this table takes 4 MB. Two of
-    260,000 different texts share a hash with a probability of about 2e-9.
+    A Python set of 260,000 custom ids takes about 40 MB; this table takes 4 MB. The
+    probability of a hash collision among 260,000 different texts is about 2e-9.
     """
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """What an upload held."""
+    """Size and content of an upload."""
 
     size_bytes: int
     lines: int
@@ -73,20 +73,20 @@
 
 
 class SegmentWriter:
-    """A write-only stream that stores the lines it gets as segments.
+    """A write-only stream that stores its lines as segments.
 
     Memory is bounded by one segment, one line and the hashes of the custom ids.
 
-    :param object_store: where the segments go
-    :param upload: prefix of their keys
+    :param object_store: holds the segments
+    :param upload: key prefix of the segments
     """
 
     def __init__(self, object_store: ports.ObjectStore, upload: str) -> None:
         self._object_store = object_store
         self._upload = upload
-        self._seen = SeenTexts()
+        self._seen = TextHashSet()
         self._digest = hashlib.sha256()
-        self._tail = bytearray()
+        self._partial_line = bytearray()
         self._segment = bytearray()
         self._segment_lines = 0
         self._segment_duplicates: list[int] = []
@@ -97,35 +97,35 @@
         self._model = ""
 
     def write(self, data: bytes) -> int:
-        """Take the next bytes of the file.
+        """Append bytes of the file.
 
         :raises errors.ApiError: when a line is too long or the object store fails
         """
         self._digest.update(data)
         self._size_bytes += len(data)
-        self._tail += data
+        self._partial_line += data
         start = 0
-        while (end := self._tail.find(b"\n", start)) >= 0:
-            self._add_line(bytes(self._tail[start : end + 1]))
+        while (end := self._partial_line.find(b"\n", start)) >= 0:
+            self._add_line(bytes(self._partial_line[start : end + 1]))
             start = end + 1
-        del self._tail[:start]
-        if len(self._tail) > _MAX_LINE_BYTES:
+        del self._partial_line[:start]
+        if len(self._partial_line) > _MAX_LINE_BYTES:
             raise errors.BodyTooLarge(f"a line is longer than {_MAX_LINE_BYTES} bytes")
         return len(data)
 
     def seek(self, offset: int, whence: int = 0) -> int:
-        """Store what is left; the form parser calls this at the end of the file."""
-        if self._tail:
-            line, self._tail = bytes(self._tail), bytearray()
+        """Store the remaining lines; the form parser seeks at the end of the file."""
+        if self._partial_line:
+            line, self._partial_line = bytes(self._partial_line), bytearray()
             self._add_line(line)
         self._flush()
         return 0
 
     def close(self) -> None:
-        """Do nothing; part of the interface of a stream."""
+        """Do nothing; required by the stream interface."""
 
     def summarize(self) -> Summary:
-        """Return what the file held; only valid after :meth:`seek`."""
+        """Return the summary of the file; only valid after :meth:`seek`."""
         return Summary(
             self._size_bytes,
             self._lines,
@@ -136,7 +136,7 @@
         )
 
     def discard(self) -> None:
-        """Delete the segments of an upload that will not be used."""
+        """Delete the segments of an unused upload."""
         for number in range(self._segments):
             self._object_store.delete(records.make_segment_key(self._upload, number))
 
@@ -174,11 +174,11 @@
         self._segment_duplicates = []
 
     def _put(self, key: str, data: bytes) -> None:
-        """Write an object; a repeated write of the same bytes does no harm."""
+        """Store an object with retries; the write is idempotent."""
         outcome: result.Result[None, objects.ObjectStoreError]
         for attempt in range(_PUT_ATTEMPTS):
             outcome = self._object_store.put(key, data)
             if isinstance(outcome, result.Ok):
                 return
-            time.sleep(_PUT_PAUSE_S * (attempt + 1))
+            time.sleep(_PUT_BACKOFF_S * (attempt + 1))
         failures.unwrap(outcome)
--- a/src/endivevane/batch/sending.py
+++ b/src/endivevane/batch/sending.py
@@ -1,4 +1,4 @@
-"""Sending of batch items to the targets that this daemon is the sender for."""
+"""Sending of batch items to the targets that are assigned to this daemon."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from endivevane.external import engine, http_pool
 
 _CANCEL_THREADS = 4
-_REPEAT_CANCEL_S = 0.3
-_REFUSED_PAUSE_S = 0.2
-# The mean follows a change of the items' length within about 50 items.
+_CANCEL_RETRY_S = 0.3
+_REFUSED_BACKOFF_S = 0.2
+# The moving average follows a change of item durations within about 50 items.
 _MEAN_WEIGHT = 0.05
 
 Post = abc.Callable[[messages.Message], None]
 
 
 @dataclasses.dataclass(slots=True)
-class _Cancelling:
+class _PendingCancel:
     attempt: attempts.Attempt
-    repeat_at_s: float
+    next_try_at_s: float
 
 
 class ItemSender:
-    """Keeps the targets and their items in flight.
+    """Sends items to targets and tracks the items in flight.
 
-    All methods are called by the runner's thread.
+    All methods are called by the runner thread.
 
-    :param concurrent_items: items in flight in this daemon
-    :param post: gives a message to the runner's thread
-    :param known_deaths: requests that crash targets; ``None`` does without
+    :param concurrent_items: limit of items in flight from this daemon
+    :param post: puts a message into the inbox of the runner thread
+    :param quarantine: registry of requests that crash targets; ``None`` disables it
     """
 
     def __init__(
@@ -52,18 +52,18 @@
         sender_clock: clock.Clock,
         concurrent_items: int,
         post: Post,
-        known_deaths: ports.Quarantine | None = None,
+        quarantine: ports.Quarantine | None = None,
     ) -> None:
         self._loads = loads
         self._clock = sender_clock
         self._concurrent_items = concurrent_items
         self._post = post
-        self._guard = crash_guard.CrashGuard(known_deaths)
+        self._guard = crash_guard.CrashGuard(quarantine)
         self._snapshot = snapshot.EMPTY
         self._states: dict[str, work.TargetState] = {}
-        self._own: dict[str, list[work.TargetState]] = {}
+        self._states_by_service: dict[str, list[work.TargetState]] = {}
         self._pools: dict[str, http_pool.HttpPool] = {}
-        self._cancelling: dict[str, _Cancelling] = {}
+        self._cancelling: dict[str, _PendingCancel] = {}
         self._attempt_count = 0
         self._mean_item_s = 0.0
         self._calls = item_calls.ItemCalls(sender_clock, self._end)
@@ -73,7 +73,7 @@
 
     @property
     def running_count(self) -> int:
-        """Items in flight."""
+        """Number of items in flight."""
         return sum(len(state.running) for state in self._states.values())
 
     def update(
@@ -82,9 +82,9 @@
         daemon: str,
         members: abc.Sequence[ports.Member],
     ) -> None:
-        """Work out which targets this daemon sends to."""
+        """Compute the targets that this daemon sends to."""
         self._snapshot = current
-        self._own = {}
+        self._states_by_service = {}
         for service in current.services.values():
             if service.is_plain or not service.model.batch.enabled:
                 continue
@@ -92,36 +92,36 @@
                 if slack.choose_sender(target, members) != daemon:
                     continue
                 state = self._get_state(target)
-                self._own.setdefault(service.name, []).append(state)
+                self._states_by_service.setdefault(service.name, []).append(state)
 
     def find_service(self, job: records.Job | records.OpenJob) -> str | None:
         """Return the service that offers a job's model to its organisation."""
         service = self._snapshot.find_service(job.organisation, job.model)
         return service.name if service is not None else None
 
-    def is_hopeless(self, job: records.Job | records.OpenJob) -> bool:
-        """Tell whether the items of a job can't be run any more.
+    def is_unservable(self, job: records.Job | records.OpenJob) -> bool:
+        """Tell whether the items of a job can no longer be run.
 
-        Not before the deadline: the model may be in a revision that this daemon does
-        not have yet, or be published again. A daemon without a configuration knows
-        nothing of models.
+        A job is servable until its deadline even if its model is unknown: the model may
+        be in a revision that this daemon does not have yet, or be published again. A
+        daemon without a configuration can't judge models.
         """
         if not self._snapshot.revision or self.find_service(job) is not None:
             return False
         return job.deadline_ms < self._clock.wall_ms()
 
     def compute_room(self, service_name: str, model: str) -> int:
-        """Return how many more items of a model may be sent now."""
+        """Return how many more items of a model can be sent now."""
         now_s = self._clock.monotonic_s()
         room = sum(
             max(0, self._compute_room(service_name, state, model, now_s))
-            for state in self._own.get(service_name, ())
+            for state in self._states_by_service.get(service_name, ())
         )
         return min(room, self._concurrent_items - self.running_count)
 
     def has_targets(self, service_name: str) -> bool:
         """Tell whether this daemon sends to any target of a service."""
-        return bool(self._own.get(service_name))
+        return bool(self._states_by_service.get(service_name))
 
     def list_running_keys(self) -> set[tuple[str, int]]:
         """Return the chunks that have items in flight."""
@@ -132,9 +132,9 @@
         }
 
     def estimate_items_per_s(self, item_s: float) -> float:
-        """Return an estimate of the fleet's speed for batch items when it is idle.
+        """Return the estimated batch throughput of a fleet without online load.
 
-        :param item_s: time of one item, used until own items have been measured
+        :param item_s: duration of one item, used until items have been measured
         """
         slots = 0.0
         for service in self._snapshot.services.values():
@@ -149,48 +149,50 @@
         """Send as many items as the targets have room for.
 
         :param held: running chunks, best first
-        :returns: how many were sent
+        :returns: number of sent items
         """
         now_s = self._clock.monotonic_s()
         sent = 0
-        for service_name, states in self._own.items():
-            offered = [item for item in held if self._is_for(item, service_name)]
+        for service_name, states in self._states_by_service.items():
+            offered = [item for item in held if self._is_served_by(item, service_name)]
             for state in states if offered else ():
                 sent += self._fill(service_name, state, offered, now_s)
         return sent
 
-    def note_ended(self, attempt: attempts.Attempt, outcome: attempts.Outcome) -> None:
-        """Take an attempt off its target."""
+    def record_ended(
+        self, attempt: attempts.Attempt, outcome: attempts.Outcome
+    ) -> None:
+        """Remove an ended attempt from its target."""
         state = self._states[attempt.target.name]
         del state.running[attempt.attempt_id]
         state.use.change(self._clock.wall_ms(), -1)
         self._cancelling.pop(attempt.attempt_id, None)
-        self._guard.note_ended(attempt, outcome)
+        self._guard.record_ended(attempt, outcome)
         metrics.BATCH_ITEMS.labels(outcome.kind.value).inc()
         now_s = self._clock.monotonic_s()
         if outcome.kind is attempts.Kind.UNREACHABLE:
-            state.note_unreachable(now_s, self._clock.wall_ms())
+            state.record_unreachable(now_s, self._clock.wall_ms())
             return
         if outcome.kind is attempts.Kind.REFUSED:
-            state.retry_at_s = now_s + _REFUSED_PAUSE_S
+            state.retry_at_s = now_s + _REFUSED_BACKOFF_S
             state.unreachable_ms = self._clock.wall_ms()
             return
         if outcome.kind is attempts.Kind.BROKEN:
-            # The engine may still run it, for example after a read timeout.
+            # The engine may still run the item, for example after a read timeout.
             self._cancel_executor.submit(
                 attempts.cancel, self._get_pool(attempt), attempt
             )
             return
-        state.note_reachable()
+        state.record_reachable()
         if outcome.kind is attempts.Kind.ANSWERED:
             duration_s = now_s - attempt.started_s
             previous_s = self._mean_item_s or duration_s
             self._mean_item_s = previous_s + _MEAN_WEIGHT * (duration_s - previous_s)
 
-    def note_online_use(self, target_name: str, daemon: str, in_flight: int) -> int:
-        """Take in how many online requests a daemon has at a target.
+    def apply_online_use(self, target_name: str, daemon: str, in_flight: int) -> int:
+        """Apply a daemon's count of online requests at a target.
 
-        :returns: how many items were stopped to make room
+        :returns: number of items preempted to free slots
         """
         state = self._states.get(target_name)
         if state is None:
@@ -211,19 +213,19 @@
         withdrawn = sum(item.withdrawn.is_set() for item in state.running.values())
         if report is None or room + withdrawn >= 0:
             return 0
-        return self._stop_youngest(state, -room - withdrawn)
+        return self._preempt_youngest(state, -room - withdrawn)
 
     def yield_slots(self, target_name: str, slots: int) -> int:
-        """Stop items at a target at once; return how many."""
+        """Preempt items at a target at once; return how many."""
         state = self._states.get(target_name)
         if state is None or slots <= 0:
             return 0
         state.hold.add(self._clock.monotonic_s(), slots)
-        given = self._stop_youngest(state, slots)
+        given = self._preempt_youngest(state, slots)
         logs.info("slots_yielded", target=target_name, asked=slots, given=given)
         return given
 
-    def _stop_youngest(self, state: work.TargetState, count: int) -> int:
+    def _preempt_youngest(self, state: work.TargetState, count: int) -> int:
         running = [
             (attempt.started_s, attempt_id)
             for attempt_id, attempt in state.running.items()
@@ -234,7 +236,7 @@
         return len(victims)
 
     def withdraw(self, keys: abc.Collection[tuple[str, int]] | None) -> None:
-        """Stop the items of some chunks, or all items for ``None``."""
+        """Withdraw the items of the given chunks, or all items for ``None``."""
         self._withdraw(
             [
                 attempt
@@ -244,16 +246,16 @@
             ]
         )
 
-    def repeat_cancels(self) -> None:
-        """Cancel again what the engine may not have known at the first call."""
+    def retry_cancels(self) -> None:
+        """Repeat cancels that may have reached the engine before the request."""
         now_s = self._clock.monotonic_s()
         for entry in self._cancelling.values():
-            if now_s >= entry.repeat_at_s:
-                entry.repeat_at_s = now_s + _REPEAT_CANCEL_S
+            if now_s >= entry.next_try_at_s:
+                entry.next_try_at_s = now_s + _CANCEL_RETRY_S
                 self._submit_cancel(entry.attempt)
 
     def stop(self) -> None:
-        """Let go of the threads and of the calls that wait for answers."""
+        """Stop the threads and abandon the calls in flight."""
         self._calls.stop()
         self._cancel_executor.shutdown(wait=False)
 
@@ -263,8 +265,8 @@
             if attempt.withdrawn.is_set():
                 continue
             attempt.withdrawn.set()
-            self._cancelling[attempt.attempt_id] = _Cancelling(
-                attempt, now_s + _REPEAT_CANCEL_S
+            self._cancelling[attempt.attempt_id] = _PendingCancel(
+                attempt, now_s + _CANCEL_RETRY_S
             )
             self._submit_cancel(attempt)
 
@@ -272,15 +274,15 @@
         pool = self._get_pool(attempt)
         self._cancel_executor.submit(attempts.cancel, pool, attempt)
 
-    def _is_for(self, chunk: work.HeldChunk, service_name: str) -> bool:
+    def _is_served_by(self, chunk: work.HeldChunk, service_name: str) -> bool:
         return self.find_service(chunk.job) == service_name
 
     def _compute_room(
         self, service_name: str, state: work.TargetState, model: str, now_s: float
     ) -> int:
         report = self._loads.load_report(state.target.name)
-        is_back = slack.is_reported_after(report, state.unreachable_ms)
-        if now_s < state.retry_at_s and not is_back:
+        is_reported = slack.is_reported_after(report, state.unreachable_ms)
+        if now_s < state.retry_at_s and not is_reported:
             return 0
         if report is not None and not offers_model(report, model):
             return 0
@@ -340,11 +342,11 @@
             item=pending.item,
             target=state.target,
             started_s=self._clock.monotonic_s(),
-            breaks=pending.breaks,
+            broken_attempts=pending.broken_attempts,
             refusals=pending.refusals,
             is_exclusive=choice.is_exclusive,
             fingerprint=fingerprint,
-            deaths=pending.deaths,
+            engine_crashes=pending.engine_crashes,
         )
         state.running[attempt.attempt_id] = attempt
         state.use.change(self._clock.wall_ms(), 1)
@@ -372,7 +374,7 @@
 
 
 def offers_model(report: engine.LoadReport, model: str) -> bool:
-    """Tell whether an engine has a model or adapter loaded."""
+    """Tell whether an engine has loaded a model or adapter."""
     return any(
         model == loaded.model or model in loaded.adapters for loaded in report.models
     )
--- a/src/endivevane/batch/settling.py
+++ b/src/endivevane/batch/settling.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means for its item."""
+"""Effect of the outcome of an attempt on its item."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 from endivevane.batch import attempts, items, work
 
 
-def settle_item(
+def resolve_item(
     chunk: work.HeldChunk,
     attempt: attempts.Attempt,
     outcome: attempts.Outcome,
     now_s: float,
     max_attempts: int,
 ) -> None:
-    """Keep the result of an attempt, or let its item wait for the next one.
+    """Store the result of an attempt, or put its item back for another attempt.
 
-    :param max_attempts: attempts that broke off before the item is given up
+    :param max_attempts: broken attempts after which the item fails
     """
     job_id, number = chunk.key
     item = attempt.item
     if outcome.kind in (attempts.Kind.ANSWERED, attempts.Kind.REJECTED):
-        chunk.lines[item.index] = items.make_answer_line(
+        chunk.lines[item.index] = items.make_response_line(
             job_id, number, item, attempt.attempt_id, outcome.status, outcome.body
         )
         chunk.progress_at_s = now_s
         return
     pending = work.PendingItem(
         item,
-        attempt.breaks,
+        attempt.broken_attempts,
         attempt.refusals,
-        deaths=attempt.deaths + outcome.is_death,
+        engine_crashes=attempt.engine_crashes + outcome.is_engine_crash,
     )
-    problem = _note_failure(pending, outcome, now_s, max_attempts)
+    problem = _record_failure(pending, outcome, now_s, max_attempts)
     if problem is None:
         chunk.put_back(pending)
         return
@@ -42,23 +42,23 @@
     chunk.progress_at_s = now_s
 
 
-def _note_failure(
+def _record_failure(
     pending: work.PendingItem,
     outcome: attempts.Outcome,
     now_s: float,
     max_attempts: int,
 ) -> items.Problem | None:
-    """Count a failed attempt; return why the item is given up, if it is."""
+    """Count a failed attempt; return a problem when no attempts are left."""
     if outcome.kind is attempts.Kind.BROKEN:
-        pending.breaks += 1
-        pending.ready_at_s = now_s + work.compute_pause_s(pending.breaks - 1)
+        pending.broken_attempts += 1
+        pending.ready_at_s = now_s + work.compute_backoff_s(pending.broken_attempts - 1)
         metrics.RETRIES.labels("batch_broken").inc()
-        if pending.breaks >= max_attempts:
-            text = f"given up after {pending.breaks} attempts: {outcome.detail}"
+        if pending.broken_attempts >= max_attempts:
+            text = f"failed after {pending.broken_attempts} attempts: {outcome.detail}"
             return items.Problem("attempts_exhausted", text)
     if outcome.kind is attempts.Kind.REFUSED:
         pending.refusals += 1
-        pending.ready_at_s = now_s + work.compute_pause_s(pending.refusals - 1)
+        pending.ready_at_s = now_s + work.compute_backoff_s(pending.refusals - 1)
         metrics.RETRIES.labels("batch_refused").inc()
         if pending.refusals >= work.MAX_REFUSALS:
             text = f"refused {pending.refusals} times: {outcome.detail}"
--- a/src/endivevane/batch/slack.py
+++ b/src/endivevane/batch/slack.py
@@ -1,4 +1,4 @@
-"""How many batch items a target can take without harm to online requests."""
+"""Capacity of targets for batch items beside online requests."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from endivevane.coordination import rendezvous
 from endivevane.external import engine
 
-# Without a recent report the online load is unknown, and batch must not guess.
+# Without a recent report the online load is unknown, so no batch items are sent.
 MAX_REPORT_AGE_MS = 5_000
-# Wall clocks of engine and daemon may differ by this much under NTP.
-_SKEW_MS = 250
+# Wall clocks of engine and daemon may differ this much under NTP.
+_MAX_CLOCK_SKEW_MS = 250
 _HISTORY_MS = 2 * MAX_REPORT_AGE_MS
-# Long enough for the online requests behind a yield request to show in a report.
+# Long enough for a report to include the online requests that a yield request is for.
 HOLD_S = 2.0
 
 
 class OwnUse:
-    """How many own items were in flight at one target over the last seconds."""
+    """History of this daemon's items in flight at one target, for a few seconds."""
 
     def __init__(self) -> None:
         self._steps: collections.deque[tuple[int, int]] = collections.deque([(0, 0)])
 
     @property
     def count(self) -> int:
-        """Own items in flight now."""
+        """Current number of own items in flight."""
         return self._steps[-1][1]
 
     def change(self, now_ms: int, difference: int) -> None:
-        """Note that items have started (positive) or ended (negative)."""
+        """Record that items have started (positive) or ended (negative)."""
         self._steps.append((now_ms, self.count + difference))
         while len(self._steps) > 1 and self._steps[1][0] < now_ms - _HISTORY_MS:
             self._steps.popleft()
 
     def count_at(self, at_ms: int) -> int:
-        """Return the count at a moment of the last seconds."""
+        """Return the count at a time within the history."""
         return self.min_between(at_ms, at_ms)
 
     def min_between(self, from_ms: int, to_ms: int) -> int:
@@ -55,29 +55,30 @@
 
 
 class OnlineUse:
-    """Online requests at one target, as the daemons that send them say.
+    """Online requests at one target, as reported by the daemons that send them.
 
-    A daemon tells its count while the target is nearly full. A report of the engine
-    that is older than a count is corrected by what has changed since.
+    Daemons report their counts while the target is nearly full. An engine report that
+    is older than a count is corrected by the change since.
     """
 
     def __init__(self) -> None:
         self._steps: dict[str, collections.deque[tuple[int, int]]] = {}
 
     def note(self, daemon: str, in_flight: int, now_ms: int) -> None:
-        """Take in the count of one daemon."""
+        """Record the count of one daemon."""
         steps = self._steps.setdefault(daemon, collections.deque())
         steps.append((now_ms, in_flight))
         while len(steps) > 1 and steps[1][0] < now_ms - _HISTORY_MS:
             steps.popleft()
 
     def compute(self, now_ms: int, as_of_ms: int, reported: int) -> int:
-        """Return the online requests now.
+        """Return the estimated number of online requests now.
 
         :param as_of_ms: time of the engine's report
-        :param reported: online requests in the report, those of silent daemons included
+        :param reported: online requests in the report, including those of daemons that
+            have sent no count
         """
-        # A count that has not changed for this long is part of each later report.
+        # Engine reports already include a count that is unchanged for this long.
         for daemon in [
             name
             for name, steps in self._steps.items()
@@ -93,9 +94,9 @@
 
 
 def _find_count(steps: collections.deque[tuple[int, int]], at_ms: int) -> int:
-    """Return the count at a moment; before the first step it is that of the first.
+    """Return the count at a time; before the first step, that of the first step.
 
-    What a daemon had before its first notice is in the report already.
+    Requests that a daemon had before its first notice are already in the report.
     """
     found = steps[0][1]
     for step_ms, count in steps:
@@ -106,17 +107,17 @@
 
 
 class Hold:
-    """Slots that batch leaves free for a while after a yield request."""
+    """Slots that batch work leaves free for a while after yield requests."""
 
     def __init__(self) -> None:
         self._holds: list[tuple[float, int]] = []
 
     def add(self, now_s: float, slots: int) -> None:
-        """Leave a number of further slots free for :data:`HOLD_S`."""
+        """Leave more slots free for :data:`HOLD_S`."""
         self._holds.append((now_s + HOLD_S, slots))
 
     def count(self, now_s: float) -> int:
-        """Return the slots to leave free now."""
+        """Return how many slots to leave free now."""
         self._holds = [item for item in self._holds if item[0] > now_s]
         return sum(slots for _, slots in self._holds)
 
@@ -129,15 +130,15 @@
     now_ms: int,
     held_slots: int,
 ) -> int:
-    """Return how many more batch items a target may run now; below 0, too many run.
+    """Return how many more batch items a target may run; negative if too many run.
 
-    The report counts own items as well as others' requests, as they were at
-    ``as_of_s``. What was not ours then is taken as the online load and corrected by
-    what the daemons have told since; own items are known exactly.
+    The report counts own items and all other requests as of ``as_of_s``. The others
+    are taken as the online load and corrected by the counts that daemons have sent
+    since; the number of own items is exact.
 
-    :param report: last load report; ``None`` when there is none
-    :param reserve_slots: slots that batch always leaves free
-    :param online: what other daemons have told of their requests
+    :param report: latest load report; ``None`` when there is none
+    :param reserve_slots: slots that batch work always leaves free
+    :param online: counts of online requests that daemons have sent
     :param held_slots: slots left free after yield requests
     """
     if report is None or report.role == "prefill":
@@ -151,28 +152,30 @@
 
 
 def is_reported_after(report: engine.LoadReport | None, at_ms: int) -> bool:
-    """Tell whether a report certainly shows a target after a moment."""
-    return report is not None and int(report.as_of_s * 1000) > at_ms + _SKEW_MS
+    """Tell whether a report is newer than a time by more than the clock skew."""
+    return (
+        report is not None and int(report.as_of_s * 1000) > at_ms + _MAX_CLOCK_SKEW_MS
+    )
 
 
 def choose_sender(
     target: snapshot.Target, members: abc.Sequence[ports.Member]
 ) -> str | None:
-    """Return the daemon that alone sends batch items to a target.
+    """Return the only daemon that sends batch items to a target.
 
-    Daemons of the target's region go first: batch should not fill the link between
-    the regions. While members change, two daemons may take themselves for the sender;
-    the reports keep their sum within bounds after one report interval.
+    Daemons in the target's region are preferred, so that batch traffic does not fill
+    the link between regions. While the membership changes, two daemons may both act as
+    the sender; load reports bound their sum after one report interval.
     """
-    near = [item for item in members if item.region == target.region]
-    weights = {item.name: 1.0 for item in near or members}
+    local = [item for item in members if item.region == target.region]
+    weights = {item.name: 1.0 for item in local or members}
     return rendezvous.choose_member(f"batch-sender/{target.name}", weights)
 
 
 def choose_victims(running: abc.Sequence[tuple[float, str]], count: int) -> list[str]:
-    """Return the attempts to cancel when slots are taken back, youngest first.
+    """Return the attempts to preempt, youngest first.
 
-    The youngest have the least work to lose.
+    The youngest attempts lose the least work.
 
     :param running: start time and identifier of each attempt
     """
--- a/src/endivevane/batch/work.py
+++ b/src/endivevane/batch/work.py
@@ -1,4 +1,4 @@
-"""Items of the claimed chunks and the choice of what to send where."""
+"""Held chunks, target state and the choice of the next item for a target."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from endivevane.batch import attempts, chunks, items, records, slack, work_source
 from endivevane.configuration import snapshot
 
-_FIRST_PAUSE_S = 0.5
-_LONGEST_PAUSE_S = 15.0
-# A target that is up but refuses one item this often will not take it at all; with
-# growing pauses this is about ten minutes.
+_INITIAL_BACKOFF_S = 0.5
+_MAX_BACKOFF_S = 15.0
+# A target that is up but refuses an item this often will never accept it. With the
+# back-off this takes about ten minutes.
 MAX_REFUSALS = 50
 
 
 class Phase(enum.StrEnum):
-    """Where a held chunk is."""
+    """Phase of a held chunk."""
 
     RUNNING = "running"
     ENDING = "ending"
@@ -28,23 +28,23 @@
 class PendingItem:
     """An item that waits to be sent.
 
-    :param breaks: attempts that broke, which count against the item
+    :param broken_attempts: attempts that broke off, which count towards the limit
     :param refusals: attempts that were refused before they ran
-    :param ready_at_s: monotonic time before which it is not sent
-    :param deaths: engines that died under it
+    :param ready_at_s: monotonic time of the earliest next attempt
+    :param engine_crashes: engines that crashed while running the item
     """
 
     item: items.Item
-    breaks: int = 0
+    broken_attempts: int = 0
     refusals: int = 0
     ready_at_s: float = 0.0
-    deaths: int = 0
+    engine_crashes: int = 0
 
 
 class HeldChunk:
     """A claimed chunk whose items are being run.
 
-    :param loaded: claim, items and results handed back by an earlier claim
+    :param loaded: claim, items and results released by an earlier claim
     """
 
     def __init__(self, loaded: work_source.LoadedChunk, now_s: float) -> None:
@@ -79,43 +79,43 @@
 
     @property
     def pending_count(self) -> int:
-        """Items that wait to be sent."""
+        """Number of items that wait to be sent."""
         return len(self.fresh) + len(self.suspects)
 
     @property
     def is_complete(self) -> bool:
-        """Whether every item has its result."""
+        """Whether every item has a result."""
         return len(self.lines) == self.item_count
 
     def put_back(self, pending: PendingItem) -> None:
-        """Let an item wait for another attempt."""
-        if pending.breaks:
+        """Queue an item for another attempt."""
+        if pending.broken_attempts:
             self.suspects.append(pending)
         else:
             self.fresh.appendleft(pending)
 
     def fail_item(self, item: items.Item, problem: items.Problem) -> None:
-        """End an item as failed."""
+        """Record an item as failed."""
         self.lines[item.index] = items.make_failure_line(
             self.job.job_id, self.claim.number, item, problem
         )
 
     def fail_pending(self, problem: items.Problem) -> None:
-        """End all waiting items as failed."""
+        """Record all waiting items as failed."""
         for pending in [*self.fresh, *self.suspects]:
             self.fail_item(pending.item, problem)
         self.fresh.clear()
         self.suspects.clear()
 
     def summarize(self) -> records.Tally:
-        """Return the tally over the ended items."""
+        """Return the tally of the ended items."""
         good = [len(line.data) for line in self.lines.values() if line.is_success]
         bad = [len(line.data) for line in self.lines.values() if not line.is_success]
         return records.Tally(len(good), len(bad), sum(good), sum(bad))
 
 
 class TargetState:
-    """What a runner knows of one target that it sends to."""
+    """State of one target that this daemon sends to."""
 
     def __init__(self, target: snapshot.Target) -> None:
         self.target = target
@@ -125,40 +125,40 @@
         self.running: dict[str, attempts.Attempt] = {}
         self.retry_at_s = 0.0
         self.unreachable_ms = 0
-        self._pause_s = _FIRST_PAUSE_S
+        self._backoff_s = _INITIAL_BACKOFF_S
 
-    def note_unreachable(self, now_s: float, now_ms: int) -> None:
-        """Send nothing for a while, longer each time.
+    def record_unreachable(self, now_s: float, now_ms: int) -> None:
+        """Apply exponential back-off to the target.
 
-        Attempts that fail together count once, or one crash would cause the longest
-        pause.
+        Attempts that fail together count once; otherwise a single crash would cause
+        the longest back-off.
         """
         self.unreachable_ms = now_ms
         if now_s < self.retry_at_s:
             return
-        self.retry_at_s = now_s + self._pause_s
-        self._pause_s = min(_LONGEST_PAUSE_S, 2 * self._pause_s)
+        self.retry_at_s = now_s + self._backoff_s
+        self._backoff_s = min(_MAX_BACKOFF_S, 2 * self._backoff_s)
 
-    def note_reachable(self) -> None:
-        """Start again with short pauses."""
-        self._pause_s = _FIRST_PAUSE_S
+    def record_reachable(self) -> None:
+        """Reset the back-off."""
+        self._backoff_s = _INITIAL_BACKOFF_S
 
     @property
     def has_exclusive(self) -> bool:
-        """Whether an item runs that must run alone."""
+        """Whether an exclusive item is running."""
         return any(attempt.is_exclusive for attempt in self.running.values())
 
     @property
     def has_suspect(self) -> bool:
-        """Whether an item runs whose earlier attempt broke."""
-        return any(attempt.breaks for attempt in self.running.values())
+        """Whether an item with an earlier broken attempt is running."""
+        return any(attempt.broken_attempts for attempt in self.running.values())
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
     """An item to send now.
 
-    :param is_exclusive: whether nothing else may run at the target meanwhile
+    :param is_exclusive: whether no other batch item may run on the target meanwhile
     """
 
     chunk: HeldChunk
@@ -169,13 +169,13 @@
 def choose_item(
     held: abc.Iterable[HeldChunk], state: TargetState, now_s: float, max_attempts: int
 ) -> Choice | None:
-    """Return the next item for a target and take it out of its chunk.
+    """Remove the next item for a target from its chunk and return it.
 
-    An engine that crashes breaks every attempt it runs, so one poisonous item puts
-    innocent ones under suspicion. A second attempt therefore runs with no other
-    suspect beside it, and the last one with no other batch item at all: an item only
-    fails for breaking engines when the last engine broke under it alone. An item under
-    which an engine died runs alone at once, because a second death quarantines it.
+    An engine crash breaks every attempt on that engine, so one crashing item makes
+    others suspects. A second attempt therefore runs without another suspect on the
+    target, and the last one without any other batch item: an item fails for broken
+    attempts only if the last one broke while it ran alone. An item that was running
+    during an engine crash runs alone at once, because a second crash quarantines it.
 
     :param held: chunks whose model the target offers, best first
     """
@@ -184,7 +184,10 @@
     for chunk in held:
         suspect = _find_ready(chunk.suspects, now_s)
         if suspect is not None:
-            is_last = suspect.breaks >= max_attempts - 1 or suspect.deaths > 0
+            is_last = (
+                suspect.broken_attempts >= max_attempts - 1
+                or suspect.engine_crashes > 0
+            )
             if is_last and state.running:
                 return None
             if is_last or not state.has_suspect:
@@ -196,12 +199,12 @@
 
 
 def _find_ready(suspects: list[PendingItem], now_s: float) -> PendingItem | None:
-    """Return the waiting item with the most broken attempts."""
+    """Return the ready suspect with the most broken attempts, if any."""
     ready = [item for item in suspects if item.ready_at_s <= now_s]
-    return max(ready, key=lambda item: item.breaks, default=None)
+    return max(ready, key=lambda item: item.broken_attempts, default=None)
 
 
-def compute_pause_s(tries: int) -> float:
-    """Return how long an item waits before its next attempt."""
-    pause_s: float = _FIRST_PAUSE_S * 2 ** min(tries, 5)
-    return min(_LONGEST_PAUSE_S, pause_s)
+def compute_backoff_s(tries: int) -> float:
+    """Return the back-off before the next attempt of an item."""
+    backoff_s: float = _INITIAL_BACKOFF_S * 2 ** min(tries, 5)
+    return min(_MAX_BACKOFF_S, backoff_s)
--- a/src/endivevane/batch/work_source.py
+++ b/src/endivevane/batch/work_source.py
@@ -1,4 +1,4 @@
-"""Finding, claiming, loading and committing chunks: the blocking side of a runner."""
+"""Blocking store calls of a runner: list jobs, claim and load chunks, finish jobs."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from endivevane.coordination import clock, rendezvous, store
 from endivevane.external import objects
 
-# At 300 bytes a row, two pages are 24 KB; a busy daemon reads them every 10 s.
+# At 300 bytes per row two pages are 24 KB; a busy daemon reads them every 10 s.
 PAGE = 40
-_MAX_KNOWN = 200
-_CURSOR_SPAN_MS = 86_400_000
-_CLAIM_TRIES = 3
+_MAX_CACHED_JOBS = 200
+_CURSOR_JITTER_MS = 86_400_000
+_MAX_CLAIM_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenJobs:
-    """What one look at the open jobs found.
+    """Result of one listing of the open jobs.
 
-    :param jobs: open jobs; ``None`` when only the active ones were looked at
-    :param items_left: estimate of the items that are not committed, by job
-    :param ended: jobs that were asked about and are no longer open
+    :param jobs: open jobs; ``None`` when only the active ones were checked
+    :param items_left: estimated number of uncommitted items by job
+    :param ended: jobs that are no longer open
     """
 
     jobs: tuple[records.OpenJob, ...] | None
@@ -38,7 +38,7 @@
 class LoadedChunk:
     """A claimed chunk and its items.
 
-    :param lines: results that an earlier claim handed back
+    :param lines: results that an earlier claim released, by item index
     """
 
     claim: chunks.Claim
@@ -47,10 +47,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _KnownJob:
-    """A job row and its chunk rows as last read; claims name their revisions.
+class _CachedJob:
+    """A job row and its chunk rows as last read; claims rely on their revisions.
 
-    :param is_exhausted: whether there was nothing to claim in these rows
+    :param is_exhausted: whether these rows show no claimable chunk
     """
 
     stored: records.StoredJob
@@ -60,9 +60,9 @@
 
 
 class WorkSource:
-    """Blocking calls on behalf of a runner; used by one thread.
+    """Blocking calls on behalf of a runner; not thread-safe.
 
-    :param is_gone: whether an owner and epoch are dead or lapsed
+    :param is_gone: whether the session of an owner and epoch is dead or expired
     """
 
     def __init__(
@@ -76,23 +76,23 @@
         self._objects = object_store
         self._is_gone = is_gone
         self._clock = source_clock
-        self._known: dict[str, _KnownJob] = {}
+        self._cache: dict[str, _CachedJob] = {}
         self._found_ended: set[str] = set()
-        # Daemons begin at different places, so that together they see all jobs soon.
-        start_ms = source_clock.wall_ms() + random.randrange(_CURSOR_SPAN_MS)
+        # Daemons start at random cursors, so that together they soon cover all jobs.
+        start_ms = source_clock.wall_ms() + random.randrange(_CURSOR_JITTER_MS)
         self._cursor = f"{start_ms:015d}"
 
     def list_open(
         self, active: abc.Collection[str], needs_page: bool
     ) -> result.Result[OpenJobs, store.StoreError]:
-        """Return open jobs: those with the earliest deadlines and some of the others.
+        """Return the open jobs with the earliest deadlines and one page of the others.
 
-        The page of the others moves on with each call, so that jobs are found whose
-        models only a few daemons send to. Pages are short, because every daemon reads
-        them again and again.
+        The second page advances with each call, so that jobs are found whose models
+        only a few daemons serve. Pages are short, because every daemon reads them
+        periodically.
 
-        :param active: jobs of which the caller wants to know whether they have ended
-        :param needs_page: whether to look at open jobs besides the active ones
+        :param active: jobs to check for their end
+        :param needs_page: whether to list open jobs besides the active ones
         """
         rows: list[store.Row] = []
         if needs_page:
@@ -109,9 +109,9 @@
             if row.ok_value is None or not _is_open(row.ok_value):
                 ended.add(job_id)
         for job_id in ended:
-            self._known.pop(job_id, None)
-        while len(self._known) > _MAX_KNOWN:
-            del self._known[next(iter(self._known))]
+            self._cache.pop(job_id, None)
+        while len(self._cache) > _MAX_CACHED_JOBS:
+            del self._cache[next(iter(self._cache))]
         left = {job.job_id: self._count_items_left(job) for job in found}
         listed = tuple(found) if needs_page else None
         return result.Ok(OpenJobs(listed, left, frozenset(ended)))
@@ -138,39 +138,39 @@
     ) -> result.Result[chunks.Claim | None, store.StoreError]:
         """Claim one chunk of a job, or finish the job when all chunks are done.
 
-        :param held: jobs and numbers of the chunks that the caller holds
-        :param max_age_s: chunk rows that were read longer ago are read again
+        :param held: job identifiers and numbers of the chunks that the caller holds
+        :param max_age_s: maximum age of cached chunk rows
         :returns: ``None`` when there is nothing to claim
         """
-        known = self._refresh(job_id, max_age_s)
-        if isinstance(known, result.Err):
-            return known
-        if known.ok_value is None:
+        cached = self._refresh(job_id, max_age_s)
+        if isinstance(cached, result.Err):
+            return cached
+        if cached.ok_value is None:
             return result.Ok(None)
-        job = known.ok_value
-        for number in self._choose_free(job, owner, held)[:_CLAIM_TRIES]:
+        job = cached.ok_value
+        for number in self._list_claimable(job, owner, held)[:_MAX_CLAIM_ATTEMPTS]:
             row = job.rows.get(number)
             operation_id = utils.make_id("claim")
             outcome = chunks.claim(
                 self._store, job.stored, number, row, owner, operation_id
             )
             if isinstance(outcome, result.Ok):
-                self._note_claim(job_id, number, row, outcome.ok_value)
+                self._log_takeover(job_id, number, row, outcome.ok_value)
                 return outcome
             if not isinstance(outcome.err_value, store.StoreConflict):
                 return outcome
             metrics.BATCH_COMMITS.labels("claim_lost").inc()
             if (records.JOBS, job_id) in outcome.err_value.rows:
-                del self._known[job_id]
+                del self._cache[job_id]
                 return result.Ok(None)
-            self._learn(job, outcome.err_value)
+            self._apply_conflict(job, outcome.err_value)
         job.is_exhausted = True
         return self._finish_if_done(job_id, job)
 
     def load(
         self, claim: chunks.Claim
     ) -> result.Result[LoadedChunk, exceptions.EndivevaneError]:
-        """Read the items of a claimed chunk."""
+        """Load the items and earlier results of a claimed chunk."""
         job = claim.stored_job.job
         segment = self._objects.get(records.make_segment_key(job.upload, claim.number))
         if isinstance(segment, result.Err):
@@ -193,7 +193,7 @@
     def reclaim(
         self, held: chunks.Claim, owner: chunks.Owner
     ) -> result.Result[chunks.Claim | None, store.StoreError]:
-        """Renew a claim under a new epoch; ``None`` when the chunk was taken over."""
+        """Renew a claim under a new epoch; ``None`` if the chunk was taken over."""
         row = self._store.read(records.CHUNKS, held.key)
         if isinstance(row, result.Err):
             return row
@@ -215,81 +215,83 @@
         return outcome
 
     def forget_exhausted(self) -> None:
-        """Read the chunk rows again at the next look, since an owner may be gone."""
-        for job in self._known.values():
+        """Expire the cached chunk rows, because an owner may be gone."""
+        for job in self._cache.values():
             job.read_at_s = None
 
     def finish_if_done(self, job_id: str) -> result.Result[None, store.StoreError]:
         """Finish a job whose last chunk may just have been committed."""
-        if job_id in self._known:
-            self._known[job_id].read_at_s = None
-        known = self._refresh(job_id, 0.0)
-        if isinstance(known, result.Err):
-            return known
-        if known.ok_value is None:
+        if job_id in self._cache:
+            self._cache[job_id].read_at_s = None
+        cached = self._refresh(job_id, 0.0)
+        if isinstance(cached, result.Err):
+            return cached
+        if cached.ok_value is None:
             return result.Ok(None)
-        outcome = self._finish_if_done(job_id, known.ok_value)
+        outcome = self._finish_if_done(job_id, cached.ok_value)
         return outcome if isinstance(outcome, result.Err) else result.Ok(None)
 
     def _count_items_left(self, job: records.OpenJob) -> int:
-        known = self._known.get(job.job_id)
-        if known is None:
+        cached = self._cache.get(job.job_id)
+        if cached is None:
             return job.item_count
-        done = [row for row in known.rows.values() if _is_done(row)]
+        done = [row for row in cached.rows.values() if _is_done(row)]
         left = job.item_count - len(done) * segments.MAX_SEGMENT_LINES
         return max(1, left)
 
     def _refresh(
         self, job_id: str, max_age_s: float
-    ) -> result.Result[_KnownJob | None, store.StoreError]:
-        """Return the job with chunk rows that are recent enough; ``None`` if ended."""
+    ) -> result.Result[_CachedJob | None, store.StoreError]:
+        """Return a job with recent chunk rows; ``None`` if ended or exhausted."""
         now_s = self._clock.monotonic_s()
-        known = self._known.get(job_id)
-        if known is None:
+        cached = self._cache.get(job_id)
+        if cached is None:
             row = self._store.read(records.JOBS, job_id)
             if isinstance(row, result.Err):
                 return row
             if row.ok_value is None or not _is_open(row.ok_value):
                 self._found_ended.add(job_id)
                 return result.Ok(None)
-            known = _KnownJob(records.decode_job(row.ok_value), {})
-            self._known[job_id] = known
-        is_recent = known.read_at_s is not None and now_s - known.read_at_s < max_age_s
+            cached = _CachedJob(records.decode_job(row.ok_value), {})
+            self._cache[job_id] = cached
+        is_recent = (
+            cached.read_at_s is not None and now_s - cached.read_at_s < max_age_s
+        )
         if is_recent:
-            return result.Ok(None if known.is_exhausted else known)
-        rows = jobs.scan_chunks(self._store, job_id, self._find_done_prefix(known))
+            return result.Ok(None if cached.is_exhausted else cached)
+        rows = jobs.scan_chunks(self._store, job_id, self._find_done_prefix(cached))
         if isinstance(rows, result.Err):
             return rows
         for found in rows.ok_value:
-            known.rows[records.parse_chunk_number(found.key)] = found
-        known.read_at_s = now_s
-        known.is_exhausted = False
-        return result.Ok(known)
+            cached.rows[records.parse_chunk_number(found.key)] = found
+        cached.read_at_s = now_s
+        cached.is_exhausted = False
+        return result.Ok(cached)
 
-    def _find_done_prefix(self, known: _KnownJob) -> str:
-        """Return the key of the last chunk before the first that is not done."""
+    def _find_done_prefix(self, cached: _CachedJob) -> str:
+        """Return the key of the last chunk of the done prefix, empty for none."""
         number = 0
-        while (row := known.rows.get(number)) is not None:
+        while (row := cached.rows.get(number)) is not None:
             if not _is_done(row):
                 break
             number += 1
         if number == 0:
             return ""
-        return records.make_chunk_key(known.stored.job.job_id, number - 1)
+        return records.make_chunk_key(cached.stored.job.job_id, number - 1)
 
-    def _choose_free(
+    def _list_claimable(
         self,
-        known: _KnownJob,
+        cached: _CachedJob,
         owner: chunks.Owner,
         held: abc.Collection[tuple[str, int]],
     ) -> abc.Sequence[int]:
-        """Return claimable chunks in an order that differs between daemons."""
-        job = known.stored.job
-        free = [
+        """Return the claimable chunks in an order that differs between daemons."""
+        job = cached.stored.job
+        claimable = [
             number
             for number in range(job.chunk_count)
             if chunks.is_claimable(
-                known.rows.get(number),
+                cached.rows.get(number),
                 owner,
                 (job.job_id, number) in held,
                 self._is_gone,
@@ -300,13 +302,13 @@
             key = records.make_chunk_key(job.job_id, number)
             return rendezvous.score(key, owner.daemon)
 
-        return sorted(free, key=rank, reverse=True)
+        return sorted(claimable, key=rank, reverse=True)
 
-    def _note_claim(
+    def _log_takeover(
         self, job_id: str, number: int, row: store.Row | None, claim: chunks.Claim
     ) -> None:
-        # The own claim enters the cache when the rows are read again; until then the
-        # chunk is known to be held.
+        # The new claim is not cached here: it is read with the next refresh, and until
+        # then the caller lists the chunk as held.
         if row is not None and row.value["owner"] != claim.owner.daemon:
             logs.info(
                 "chunk_taken_over",
@@ -316,24 +318,26 @@
                 claim_epoch=claim.claim_epoch,
             )
 
-    def _learn(self, known: _KnownJob, conflict: store.StoreConflict) -> None:
-        """Keep the rows that a conflict has shown."""
+    def _apply_conflict(
+        self, cached: _CachedJob, conflict: store.StoreConflict
+    ) -> None:
+        """Update the cached chunk rows with those of a conflict."""
         for (table, key), row in conflict.rows.items():
             if table == records.CHUNKS and row is not None:
-                known.rows[records.parse_chunk_number(key)] = row
+                cached.rows[records.parse_chunk_number(key)] = row
 
     def _finish_if_done(
-        self, job_id: str, known: _KnownJob
+        self, job_id: str, cached: _CachedJob
     ) -> result.Result[chunks.Claim | None, store.StoreError]:
-        rows = list(known.rows.values())
-        if not chunks.is_all_done(rows, known.stored.job.chunk_count):
+        rows = list(cached.rows.values())
+        if not chunks.is_all_done(rows, cached.stored.job.chunk_count):
             return result.Ok(None)
-        outcome = jobs.finish(self._store, known.stored, rows, self._clock.wall_ms())
+        outcome = jobs.finish(self._store, cached.stored, rows, self._clock.wall_ms())
         if isinstance(outcome, result.Err):
             return outcome
         if outcome.ok_value is chunks.WriteOutcome.APPLIED:
             logs.info("job_completed", job_id=job_id)
-        self._known.pop(job_id, None)
+        self._cache.pop(job_id, None)
         return result.Ok(None)
 
     def _read_duplicates(
