--- a/features/batch_decisions.feature
+++ b/features/batch_decisions.feature
@@ -1,7 +1,7 @@
-Feature: Batch yields to online traffic and follows deadlines
+Feature: Batch work yields to online traffic and follows deadlines
 
-  Scenario Outline: Items are sent only into the slack of a target
-    # Guards against batch items that queue before online requests.
+  Scenario Outline: Items are sent only to free slots of a target
+    # Guards against batch items that queue ahead of online requests.
     Given a target with 16 slots and a reserve of 2
     And a report of <running> running and <waiting> waiting, <age_ms> ms old
     And <own> own items in flight that the report has seen
@@ -18,7 +18,7 @@
       | 0       | 0       | 6000   | 0   | 0   | 0    |
 
   Scenario: Slots that are taken back stay free for a while
-    # Guards against a refill of the slots before the online requests use them.
+    # Guards against batch items that refill the slots before online requests use them.
     Given a target with 16 slots and a reserve of 2
     And a report of 10 running and 0 waiting, 500 ms old
     And 10 own items in flight that the report has seen
@@ -41,7 +41,7 @@
     And the death of a sender moves only its own targets
 
   Scenario: A small urgent job goes before a large late one
-    # Guards against jobs that miss their deadline behind a job that is lost anyway.
+    # Guards against jobs that miss their deadline behind one that can't meet its own.
     Given open jobs
       | job   | organisation | items  | deadline_s |
       | large | acme         | 100000 | 60         |
@@ -49,8 +49,8 @@
       | later | acme         | 100    | 600        |
     Then the order at 10 items per s is "small later large"
 
-  Scenario: An organisation above its share gives way first
-    # Guards against one organisation that makes the jobs of all others late.
+  Scenario: Jobs of an organisation above its share are deferred first
+    # Guards against one organisation that delays the jobs of all others.
     Given open jobs
       | job | organisation | items | deadline_s |
       | a1  | acme         | 400   | 100        |
@@ -59,37 +59,37 @@
     Then the order at 10 items per s is "a2 b1 a1"
 
   Scenario: A job at risk is reported before it is late
-    # Guards against a missed deadline that nobody was told of.
+    # Guards against a missed deadline without a warning.
     Given open jobs
       | job  | organisation | items | deadline_s |
       | fine | acme         | 100   | 100        |
       | slow | acme         | 880   | 100        |
     Then the risks at 10 items per s are "fine=on_time slow=at_risk"
-    And the log reported "slow" once in two looks
+    And the log reported "slow" once in two reports
 
   Scenario: Daemons prefer different jobs
-    # Guards against claims that collide because all daemons take the same job.
+    # Guards against conflicting claims because all daemons choose the same job.
     Given 20 open jobs of one chunk and 10 daemons
     Then at least 8 different jobs are first for some daemon
 
-  Scenario: An upload is stored while it arrives and takes bounded memory
-    # Guards against a file that is held in memory as a whole, or split at a wrong place.
+  Scenario: An upload is stored while it arrives, in bounded memory
+    # Guards against a file that is buffered as a whole or split incorrectly.
     When a file of 100000 lines arrives in pieces of 64 KiB
     Then it is stored in 196 segments of at most 512 lines and 4194304 bytes
-    And the writer held at most 24 MiB at once
-    And the segments together are the file
+    And the writer used at most 24 MiB at once
+    And the concatenated segments equal the file
 
-  Scenario: A daemon that stops hands back its chunks with the finished part
-    # Guards against finished items that run again after a planned stop.
+  Scenario: A draining daemon releases its chunks with the finished results
+    # Guards against finished items that run again after a drain.
     Given a runner with an engine of 8 slots and items of 100 ms
     When the runner is drained after some items have ended
-    Then the chunk is released with the finished part
+    Then the chunk is released with the finished results
     And another runner completes the job without running finished items again
 
-  Scenario: A daemon keeps jobs in mind that are not on the pages that it reads
-    # Guards against chunks of a dead daemon that nobody finds, since a look shows only a
-    # part of the open jobs.
+  Scenario: A daemon retains open jobs beyond the pages that it reads
+    # Guards against chunks of a dead daemon that no other daemon finds, because one
+    # listing covers only a part of the open jobs.
     Given a runner that serves one of two models and 400 open jobs
-    When it has looked at the open jobs as often as there are pages
+    When it has listed the open jobs as often as there are pages
     Then all 20 open jobs of its model are candidates
-    And a job that has ended is no candidate after the next looks
+    And a job that has ended is no candidate after the next listing
--- a/features/batch_protocol.feature
+++ b/features/batch_protocol.feature
@@ -1,4 +1,4 @@
-Feature: Batch chunks are committed exactly once whatever the store does
+Feature: Batch chunks are committed exactly once despite store faults
 
   Scenario: Claims, commits, cancels and finishes hold under every store fault
     # Guards against a chunk that is committed twice, a result that is added after an
@@ -7,14 +7,14 @@
     Then no step broke an invariant
     And every outcome of claim, commit, cancel and finish was reached
 
-  Scenario: The fuzzing finds the fault when the commit has no fence
-    # Guards against a check that would pass over a commit by a replaced holder.
+  Scenario: Fuzzing finds the double commit when commits are not fenced
+    # Guards against an oracle that misses a commit by a replaced owner.
     When the batch protocol without the fence is fuzzed with seed 20261204
     Then the fuzzing reports a chunk that was written after it was final
 
-  Scenario: Runners under store faults, lapsed leases and deaths complete a job
-    # Guards against a chunk that no runner takes up again after a lost answer, a lapse or
-    # a death, and against two commits of one chunk.
+  Scenario: Runners complete a job despite store faults, expired leases and crashes
+    # Guards against a chunk that no runner takes over after a lost response, an expired
+    # lease or a crash, and against two commits of one chunk.
     When 3 runners work on 12000 items while 0.2 of the store's calls fail, with seed 77
     Then the job has ended and every chunk was committed once
     And every item has one result
--- a/features/steps/batch_calls_steps.py
+++ b/features/steps/batch_calls_steps.py
@@ -12,11 +12,11 @@
 
 _BODY = b'{"choices": []}'
 _ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(_BODY), _BODY)
-_LIMIT_S = 20.0
+_WAIT_S = 20.0
 
 
 class _Engine:
-    """Accepts connections and treats each as its behaviour says."""
+    """Accepts connections and treats each according to its behaviour."""
 
     def __init__(self, behaviour):
         self._behaviour = behaviour
@@ -44,7 +44,7 @@
             connection.sendall(_ANSWER)
 
     def close(self):
-        # A thread that waits in accept keeps a closed socket listening.
+        # Closing alone leaves the socket listening while a thread waits in accept.
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         for connection in self.connections:
@@ -57,7 +57,7 @@
 
 
 def _wait_until(condition):
-    end_s = time.monotonic() + _LIMIT_S
+    end_s = time.monotonic() + _WAIT_S
     while not condition() and time.monotonic() < end_s:
         time.sleep(0.01)
     return condition()
@@ -73,8 +73,8 @@
     context.ended = []
 
 
-@when("{count:d} items are sent to it with a limit of {limit:d} seconds")
-def step_send(context, count, limit):
+@when("{count:d} items are sent to it with a timeout of {timeout_s:d} seconds")
+def step_send(context, count, timeout_s):
     context.threads = threading.active_count()
     context.calls = item_calls.ItemCalls(
         clock.SystemClock(),
@@ -88,7 +88,7 @@
         attempt = attempts.Attempt(
             f"a{number}", "job", 0, _Item(), target, 0.0, 0, 0, False, "f", 0
         )
-        context.calls.start(pool, attempt, limit)
+        context.calls.start(pool, attempt, timeout_s)
 
 
 @then("all of them reach the engine while at most {count:d} more threads run")
@@ -107,7 +107,7 @@
 @then('{count:d} items end as "{kind}"')
 def step_check_ended(context, count, kind):
     assert _wait_until(lambda: len(context.ended) >= count), len(context.ended)
-    # A second outcome of an attempt would come from the limit, checked twice a second.
+    # A second outcome could come from the timeout check, which runs twice per second.
     time.sleep(1.2)
     kinds = collections.Counter(outcome.kind.value for _, outcome in context.ended)
     assert kinds == {kind: count}, kinds
@@ -121,12 +121,12 @@
     context.calls.stop()
 
 
-@then("the engine sees all connections closed within {limit:d} seconds")
-def step_check_closed(context, limit):
-    end_s = time.monotonic() + limit
+@then("the engine sees all connections closed within {timeout_s:d} seconds")
+def step_check_closed(context, timeout_s):
+    end_s = time.monotonic() + timeout_s
     for connection in context.engine.connections:
         connection.settimeout(max(0.01, end_s - time.monotonic()))
-        # The rest of the request may still be there.
+        # Parts of the request may still be unread.
         while connection.recv(65536):
             continue
     assert not context.ended, context.ended[0]
--- a/features/steps/batch_decisions_steps.py
+++ b/features/steps/batch_decisions_steps.py
@@ -180,7 +180,7 @@
     assert found == text, found
 
 
-@then('the log reported "{name}" once in two looks')
+@then('the log reported "{name}" once in two reports')
 def step_check_reported(context, name):
     reported = [
         fields["job_id"]
@@ -246,13 +246,13 @@
     assert all(len(part) <= size for part in parts)
 
 
-@then("the writer held at most {limit:d} MiB at once")
+@then("the writer used at most {limit:d} MiB at once")
 def step_check_memory(context, limit):
-    print(f"held {context.peak / 2**20:.1f} MiB, file {len(context.file)} bytes")
+    print(f"used {context.peak / 2**20:.1f} MiB, file {len(context.file)} bytes")
     assert context.peak <= limit << 20, context.peak
 
 
-@then("the segments together are the file")
+@then("the concatenated segments equal the file")
 def step_check_whole(context):
     assert b"".join(context.objects.parts) == context.file
 
@@ -264,10 +264,12 @@
 
 
 @when("items run in {running:d} slots and {count:d} of them are taken back")
-def step_take_back(context, running, count):
+def step_preempt(context, running, count):
     world = context.world
     batch_world.wait_until(
-        lambda: len(world.runs("started")) == running, 15, "items do not run"
+        lambda: len(world.runs("started")) == running,
+        15,
+        "the items did not start in time",
     )
     body = {"target": world.target.name, "slots": count}
     context.runner.receive_yield("d2", body)
@@ -275,7 +277,7 @@
 
 
 @then("the engine has cancelled {count:d} runs within {limit_s:d} s")
-def step_check_taken(context, count, limit_s):
+def step_check_preempted(context, count, limit_s):
     world = context.world
     batch_world.wait_until(
         lambda: len(world.runs("cancelled")) == count,
@@ -301,13 +303,13 @@
 def step_drain(context):
     world = context.world
     batch_world.wait_until(
-        lambda: len(world.runs("finished")) >= 12, 15, "no item has ended"
+        lambda: len(world.runs("finished")) >= 12, 15, "too few items finished in time"
     )
     context.runner.drain(5.0)
     context.finished = len(world.runs("finished"))
 
 
-@then("the chunk is released with the finished part")
+@then("the chunk is released with the finished results")
 def step_check_released(context):
     world = context.world
     (row,) = world.store.rows("chunks").values()
@@ -327,13 +329,13 @@
     def is_done():
         return world.store.rows("jobs")[world.job_id].value["state"] == "completed"
 
-    batch_world.wait_until(is_done, 20, "the job does not end")
+    batch_world.wait_until(is_done, 20, "the job did not complete in time")
     finished = [run["attempt_id"].split("-")[2] for run in world.runs("finished")]
     assert len(finished) == len(set(finished)) == 60, len(finished)
 
 
 class _OneModelSender:
-    """Serves one model only."""
+    """An item sender whose targets serve one model only."""
 
     def find_service(self, job):
         return "own" if job.model == "own" else "other"
@@ -350,7 +352,7 @@
     context.store = testing.MemoryTableStore()
     context.clock = clock.ManualClock(wall_ms=1_000_000)
     for index in range(count):
-        # Every 20th job is for the own model, from the middle of the list on.
+        # Every 20th job, starting with the 6th, is for the served model.
         is_own = index >= 5 and index % 20 == 5
         job = records.Job(
             f"job{index}",
@@ -389,10 +391,12 @@
     context.cleanups.append(context.finder.stop)
 
 
-def _look_once(context):
+def _list_once(context):
     context.clock.advance(20.0)
     context.finder.list_open((), True, context.clock.monotonic_s())
-    batch_world.wait_until(lambda: context.inbox, 5, "no listing")
+    batch_world.wait_until(
+        lambda: context.inbox, 5, "the open jobs were not listed in time"
+    )
     listed = context.inbox.pop().outcome.ok_value
     context.finder.record_listing_ended()
     for job_id in listed.ended:
@@ -405,10 +409,10 @@
     return sorted(item.job.job_id for item in candidates if item.job.model == "own")
 
 
-@when("it has looked at the open jobs as often as there are pages")
-def step_look_often(context):
+@when("it has listed the open jobs as often as there are pages")
+def step_list_often(context):
     for _ in range(-(-400 // work_source.PAGE) + 1):
-        _look_once(context)
+        _list_once(context)
 
 
 @then("all {count:d} open jobs of its model are candidates")
@@ -417,7 +421,7 @@
     assert len(own) == count, own
 
 
-@then("a job that has ended is no candidate after the next looks")
+@then("a job that has ended is no candidate after the next listing")
 def step_check_ended(context):
     job_id = "job205"
     row = context.store.rows("jobs")[job_id]
@@ -433,5 +437,5 @@
     owner = chunks.Owner("d1", 1)
     outcome = context.finder._source.claim_from(job_id, owner, set())
     assert outcome.ok_value is None
-    _look_once(context)
+    _list_once(context)
     assert job_id not in _list_own(context)
--- a/features/steps/batch_protocol_steps.py
+++ b/features/steps/batch_protocol_steps.py
@@ -8,8 +8,8 @@
 
 _EXAMPLES = 200
 _STEPS_PER_EXAMPLE = 60
-# The job takes some seconds; pauses of refused calls and lapses add to it.
-_STORM_LIMIT_S = 90
+# The job takes some seconds; back-off after failed calls and expired leases add to it.
+_RUN_TIMEOUT_S = 90
 
 
 def _fuzz(context, machine, seed):
@@ -61,7 +61,7 @@
 
 @then("the fuzzing reports a chunk that was written after it was final")
 def step_check_found(context):
-    assert context.failure is not None, "the missing fence was not noticed"
+    assert context.failure is not None, "the fuzzing did not detect the missing fence"
     print(f"found: {context.failure.splitlines()[0]}")
 
 
@@ -69,61 +69,65 @@
     "{runners:d} runners work on {count:d} items while {share:f} of the store's calls "
     "fail, with seed {seed:d}"
 )
-def step_storm(context, runners, count, share, seed):
+def step_run_with_faults(context, runners, count, share, seed):
     print(f"seed {seed}")
     context.count = count
-    context.storm = batch_storm.Storm(seed, runners, count, share)
-    context.cleanups.append(context.storm.close)
-    events = context.storm.run(_STORM_LIMIT_S)
-    assert events is not None, context.storm.store.rows("chunks")
-    print(f"{events} lapses and deaths, {context.storm.attempt_count} attempts")
+    context.fault_run = batch_storm.FaultInjectionRun(seed, runners, count, share)
+    context.cleanups.append(context.fault_run.close)
+    events = context.fault_run.run(_RUN_TIMEOUT_S)
+    assert events is not None, context.fault_run.store.rows("chunks")
+    print(
+        f"{events} lost leases and crashes, {context.fault_run.attempt_count} attempts"
+    )
 
 
 @then("the job has ended and every chunk was committed once")
-def step_check_storm(context):
-    counts = context.storm.count_commits()
+def step_check_run(context):
+    counts = context.fault_run.count_commits()
     assert len(counts) == -(-context.count // 512), counts
     assert set(counts.values()) == {1}, counts
 
 
 @then("every item has one result")
-def step_check_storm_results(context):
-    storm = context.storm
-    storm.fault_share = 0.0
-    reader = results.ResultReader(storm.store, storm.objects)
-    data = b"".join(reader.read(storm.job_id, is_errors=False))
+def step_check_run_results(context):
+    fault_run = context.fault_run
+    fault_run.fault_share = 0.0
+    reader = results.ResultReader(fault_run.store, fault_run.objects)
+    data = b"".join(reader.read(fault_run.job_id, is_errors=False))
     found = [utils.decode_json(line)["custom_id"] for line in data.splitlines()]
     assert found == [f"c{index}" for index in range(context.count)]
 
 
-@given("{runners:d} runners without faults whose sends take {send_s:g} seconds")
-def step_slow_sends(context, runners, send_s):
-    context.storm = batch_storm.Storm(1, runners, 600, 0.0)
-    context.storm.send_s = send_s
-    context.cleanups.append(context.storm.close)
+@given(
+    "{runners:d} runners without faults whose sends take {send_duration_s:g} seconds"
+)
+def step_slow_sends(context, runners, send_duration_s):
+    context.fault_run = batch_storm.FaultInjectionRun(1, runners, 600, 0.0)
+    context.fault_run.send_duration_s = send_duration_s
+    context.cleanups.append(context.fault_run.close)
 
 
 @when("their job of 600 items is cancelled while items are being sent")
-def step_cancel_storm(context):
-    storm = context.storm
+def step_cancel_run(context):
+    fault_run = context.fault_run
     end_s = time.monotonic() + 10.0
-    while not storm.sent_at_s:
-        assert time.monotonic() < end_s, "nothing was sent"
+    while not fault_run.send_times_s:
+        assert time.monotonic() < end_s, "no item was sent within 10 s"
         time.sleep(0.01)
-    service = jobs.JobService(storm.store, storm.clock)
-    service.cancel("org", storm.job_id)
-    name = sorted(storm.tasks)[0]
-    storm.tasks[name].notify_cancelled(storm.job_id, set(storm.tasks))
+    service = jobs.JobService(fault_run.store, fault_run.clock)
+    service.cancel("org", fault_run.job_id)
+    name = sorted(fault_run.tasks)[0]
+    fault_run.tasks[name].notify_cancelled(fault_run.job_id, set(fault_run.tasks))
     context.acknowledged_s = time.monotonic()
 
 
 @then("no send ended after the acknowledgement")
 def step_check_sends(context):
-    # Twice the time of a send.
-    time.sleep(2 * context.storm.send_s)
+    # Twice the duration of a send, so that every send in progress has ended.
+    time.sleep(2 * context.fault_run.send_duration_s)
     late = [
         at_s - context.acknowledged_s
-        for at_s in context.storm.sent_at_s
+        for at_s in context.fault_run.send_times_s
         if at_s > context.acknowledged_s
     ]
     assert not late, late
--- a/features/steps/batch_steps.py
+++ b/features/steps/batch_steps.py
@@ -134,7 +134,7 @@
 
 
 def _list_takeovers(context):
-    """Return the times at which chunks of the victim got another owner."""
+    """Return the times at which other daemons took over chunks of the victim."""
     name = context.victim.name
     last_owner = {}
     taken = []
@@ -147,14 +147,14 @@
     return taken
 
 
-@then("another daemon claimed the chunk within {limit_s:d} s of the death")
+@then("another daemon claimed the chunk within {limit_s:d} s of the kill")
 def step_check_takeover(context, limit_s):
     delays_s = [at_s - context.killed_at_s for at_s in _list_takeovers(context)]
     print(f"taken over after {delays_s}")
     assert max(delays_s) <= limit_s, delays_s
 
 
-@then("another daemon took a chunk over from it")
+@then("another daemon has taken over a chunk from it")
 def step_check_taken_over(context):
     _list_takeovers(context)
 
@@ -213,15 +213,15 @@
     assert job.request_counts == context.cancelled.request_counts
 
 
-@given('every engine crashes on "{text}" and is started again')
-def step_poison(context, text):
-    context.batch.keeper = batch_fleet.EngineKeeper(
+@given('every engine crashes on "{text}" and is restarted')
+def step_crash_engines(context, text):
+    context.batch.engine_restarter = batch_fleet.EngineRestarter(
         context.batch.fleet.engines, crash_on=text
     )
 
 
-@when("a job of {count:d} items with poison in item {index:d} is created")
-def step_create_poison(context, count, index):
+@when("a job of {count:d} items whose item {index:d} crashes engines is created")
+def step_create_crashing(context, count, index):
     lines = batch_fleet.make_lines(count, MODEL)
     lines[index] = lines[index].replace("question", "poison")
     context.count = count
@@ -230,19 +230,21 @@
 
 
 @then('the job completes with item {index:d} failed as "{code}"')
-def step_check_poison(context, index, code):
+def step_check_crashing(context, index, code):
     job = context.batch.wait(context.job.id, timeout_s=90)
     assert job.status == "completed", job
     failed = context.batch.read(job.error_file_id)
     reasons = [(line["custom_id"], line["error"]["code"]) for line in failed]
     assert reasons == [(f"c{index}", code)], reasons
-    print(f"engine restarts {context.batch.keeper.restarts}")
+    print(f"engine restarts {context.batch.engine_restarter.restart_count}")
     context.done = job
 
 
-@then("engines were started again at most {count:d} times")
+@then("engines were restarted at most {count:d} times")
 def step_check_restarts(context, count):
-    assert context.batch.keeper.restarts <= count, context.batch.keeper.restarts
+    assert (
+        context.batch.engine_restarter.restart_count <= count
+    ), context.batch.engine_restarter.restart_count
 
 
 @then("the other {count:d} items have results")
--- a/features/support/batch_fleet.py
+++ b/features/support/batch_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet that runs batch jobs, and counts over the stand-ins' records."""
+"""A fleet that runs batch jobs, with queries of the stand-ins' records."""
 
 import collections
 import json
@@ -28,7 +28,7 @@
 
 
 class BatchFleet:
-    """A fleet with short leases and its callers."""
+    """A fleet with short leases, and its API clients."""
 
     def __init__(self, daemon_settings=None, **plan):
         settings = {
@@ -40,14 +40,14 @@
         zones = (fleet.Zone("zone-a", "west"), fleet.Zone("zone-b", "west"))
         plan.setdefault("zones", zones)
         self.fleet = fleet.Fleet(fleet.FleetPlan(daemon_settings=settings, **plan))
-        self.keeper = None
+        self.engine_restarter = None
 
     def start(self):
         self.fleet.start()
 
     def close(self):
-        if self.keeper is not None:
-            self.keeper.stop()
+        if self.engine_restarter is not None:
+            self.engine_restarter.stop()
         self.fleet.close()
 
     def client(self, index=0):
@@ -79,7 +79,9 @@
             job = self.client(index).batches.retrieve(job_id)
             if job.status not in ("in_progress", "validating"):
                 return job
-            assert time.monotonic() < deadline_s, f"still {job.request_counts}"
+            assert (
+                time.monotonic() < deadline_s
+            ), f"job has not ended: {job.request_counts}"
             time.sleep(POLL_S)
 
     def read(self, file_id, index=0):
@@ -90,7 +92,7 @@
         return [json.loads(line) for line in text.splitlines()]
 
     def chunk_rows(self):
-        """Return the writes of all chunk rows in order."""
+        """Return all writes of chunk rows in order."""
         record = self.fleet.store.record()
         return [entry for entry in record["history"] if entry["table"] == "chunks"]
 
@@ -103,7 +105,7 @@
         )
 
     def wait_for_owner(self, is_wanted=lambda owner: True, timeout_s=20.0):
-        """Return a daemon that holds a claim whose items have begun to run."""
+        """Return a daemon that holds a claim, once items are running."""
         deadline_s = time.monotonic() + timeout_s
         while True:
             last = {entry["key"]: entry["value"] for entry in self.chunk_rows()}
@@ -113,11 +115,13 @@
                 return next(
                     item for item in self.fleet.daemons if item.name == owners[0]
                 )
-            assert time.monotonic() < deadline_s, "nothing was claimed"
+            assert (
+                time.monotonic() < deadline_s
+            ), "no wanted daemon holds a claim with running items"
             time.sleep(POLL_S)
 
     def runs(self):
-        """Return all runs that the engines have recorded."""
+        """Return all runs recorded by the running engines."""
         return [
             run
             for engine in self.fleet.engines
@@ -126,14 +130,14 @@
         ]
 
 
-class EngineKeeper:
-    """Starts engines again that have crashed, with the same fault."""
+class EngineRestarter:
+    """Restarts crashed engines with the same injected faults."""
 
     def __init__(self, engines, **faults):
         self._engines = engines
         self._faults = faults
         self._stopped = threading.Event()
-        self.restarts = 0
+        self.restart_count = 0
         for engine in engines:
             engine.set_faults(**faults)
         self._thread = threading.Thread(target=self._run)
@@ -148,6 +152,6 @@
             for engine in self._engines:
                 if engine.process.is_running:
                     continue
-                self.restarts += 1
+                self.restart_count += 1
                 engine.restart()
                 engine.set_faults(**self._faults)
--- a/features/support/batch_local.py
+++ b/features/support/batch_local.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that batch work needs, for tests inside one process."""
+"""In-process implementations of the ports of batch work, for tests."""
 
 import collections
 import time
@@ -52,7 +52,7 @@
 
 
 class Hub:
-    """Daemons in one process that know each other at once."""
+    """Membership shared by daemons in one process, without delay."""
 
     def __init__(self, current=snapshot.EMPTY):
         self.current = current
@@ -61,7 +61,7 @@
 
 
 class LocalCluster:
-    """Implements ``ports.Cluster`` over a hub."""
+    """Implementation of ``ports.Cluster`` over a hub."""
 
     def __init__(self, hub, name):
         self._hub = hub
@@ -100,7 +100,7 @@
 
 
 class PolledLoads:
-    """Load reports that are read from the engines when they are asked for."""
+    """Load reports, polled from the engines on demand."""
 
     def __init__(self, targets, max_age_s=0.2):
         self._clients = {}
@@ -124,7 +124,7 @@
 
 
 def make_snapshot(engines, organisation="org", model="m", **batch):
-    """Return a configuration with one service over the engines' addresses."""
+    """Return a configuration with one service on the given engines."""
     documents = {
         "fleet": {"kind": "fleet", "zones": [{"name": "z", "region": "r"}]},
         f"organisations/{organisation}": {
--- a/features/support/batch_machine.py
+++ b/features/support/batch_machine.py
@@ -1,6 +1,8 @@
 """Stateful fuzzing of claim, commit, takeover, cancel and finish.
 
-The oracle is the store's own history: it lists every transaction that took effect.
+The oracle is the store's history, which lists every transaction that took effect.
+
+Hypothesis orders rules by name, so renaming one changes the steps of a seed.
 """
 
 import collections
@@ -19,7 +21,7 @@
 RUNNERS = ("a", "b", "c")
 REQUESTS = 2
 CHUNK_COUNT = 2
-# Half of the calls meet no fault, so that the protocol gets past its first steps.
+# Half of the calls are without faults, so that runs get past the first steps.
 FAULTS = strategies.one_of(
     strategies.just([]),
     strategies.lists(
@@ -37,7 +39,7 @@
 
 
 def list_replaced(machine):
-    """Return the claims of holders that the others take for gone."""
+    """Return the claims of runners whose session other runners see as gone."""
     return [
         (runner, key)
         for runner in machine.runners.values()
@@ -51,7 +53,7 @@
 
 
 def commit_without_fence(table_store, claim, tally):
-    """Commit over whatever row is there, as a holder would that trusts its lease."""
+    """Commit with the current revision instead of the fencing token."""
     row = table_store.read(records.CHUNKS, claim.key)
     if isinstance(row, result.Err):
         return row
@@ -69,7 +71,7 @@
 
 
 class BatchMachine(stateful.RuleBasedStateMachine):
-    """Three runners, two jobs of two chunks each, faults in every call."""
+    """Three runners and two jobs of two chunks each, with faults in every call."""
 
     commit = staticmethod(chunks.commit)
     steps = 0
@@ -137,7 +139,7 @@
         ]
         return held[pick % len(held)]
 
-    def _note(self, verb, outcome):
+    def _count_outcome(self, verb, outcome):
         kind = "error"
         if isinstance(outcome, result.Ok):
             kind = "none" if outcome.ok_value is None else "ok"
@@ -171,8 +173,7 @@
         faults=FAULTS,
     )
     def claim(self, name, number, wait_s, faults):
-        # Rows that were read within the last 2 s are not read again, so that a short
-        # wait lets the claim rest on old rows.
+        # Rows are cached for 2 s, so a short wait makes the claim rely on stale rows.
         self.clock.advance(wait_s)
         runner = self.runners[name]
         job_id = self._choose_job(number)
@@ -180,7 +181,7 @@
         owner = chunks.Owner(name, runner.epoch)
         outcome = runner.source.claim_from(job_id, owner, set(runner.held))
         self._end()
-        self._note("claim", outcome)
+        self._count_outcome("claim", outcome)
         if isinstance(outcome, result.Ok) and outcome.ok_value is not None:
             claim = outcome.ok_value
             runner.held[job_id, claim.number] = claim
@@ -193,7 +194,7 @@
     @stateful.precondition(has_replaced)
     @stateful.rule(faults=FAULTS)
     def commit_late(self, faults):
-        """A replaced holder goes on as if its lease held."""
+        """Commit for a replaced owner that has not noticed its expired lease."""
         self._commit(*list_replaced(self)[0], faults)
 
     @stateful.precondition(has_claims)
@@ -210,7 +211,7 @@
         tally = records.Tally(1, 0, len(line.data), 0)
         outcome = type(self).commit(self.store, claim, tally)
         self._end()
-        self._note("commit", outcome)
+        self._count_outcome("commit", outcome)
         if isinstance(outcome, result.Err):
             return
         del runner.held[key]
@@ -223,7 +224,7 @@
     @stateful.precondition(has_claims)
     @stateful.rule(pick=strategies.integers(0, 11), other=strategies.integers(0, 1))
     def replace_holder(self, pick, other):
-        """A holder is paused past its lease and another runner takes the chunk."""
+        """Expire the lease of a paused owner and let another runner claim its chunk."""
         runner, key = self._choose_claim(pick)
         self.gone.add((runner.name, runner.epoch))
         others = [name for name in RUNNERS if name != runner.name]
@@ -236,7 +237,7 @@
         self._begin(faults)
         outcome = chunks.release(self.store, runner.held[key], "")
         self._end()
-        self._note("release", outcome)
+        self._count_outcome("release", outcome)
         if isinstance(outcome, result.Ok):
             del runner.held[key]
 
@@ -267,26 +268,26 @@
         self._begin(faults)
         outcome = self.runners[name].source.finish_if_done(job_id)
         self._end()
-        self._note("finish", outcome)
+        self._count_outcome("finish", outcome)
 
     @stateful.precondition(lambda self: not self.may_cancel)
     @stateful.rule()
     def allow_cancel(self):
-        """Cancels are rare, or most jobs would end before anything is committed."""
+        """Enable cancels, which would otherwise end most jobs before any commit."""
         type(self).steps += 1
         self.may_cancel = True
 
     @stateful.precondition(has_claims)
     @stateful.rule(name=strategies.sampled_from(RUNNERS))
     def lapse(self, name):
-        """The others see the lease as over; the holder is paused and does not know."""
+        """Expire the lease of a runner that is paused and does not notice."""
         type(self).steps += 1
         self.gone.add((name, self.runners[name].epoch))
 
     @stateful.precondition(lambda self: self.gone)
     @stateful.rule(name=strategies.sampled_from(RUNNERS), faults=FAULTS)
     def wake(self, name, faults):
-        """A paused holder gets a new epoch and renews what nobody has taken over."""
+        """Resume a paused runner under a new epoch and renew its remaining claims."""
         runner = self.runners[name]
         self.epochs[name] += 1
         runner.epoch = self.epochs[name]
@@ -294,7 +295,7 @@
         self._begin(faults)
         for key, claim in list(runner.held.items()):
             outcome = runner.source.reclaim(claim, owner)
-            self._note("reclaim", outcome)
+            self._count_outcome("reclaim", outcome)
             if isinstance(outcome, result.Err):
                 continue
             del runner.held[key]
@@ -331,9 +332,9 @@
                 if write.value["state"] == "done":
                     done[write.key] = write.value["result"]
         for key, result_key in done.items():
-            reader = results.ResultReader(FaultFree(self.store), self.objects)
+            reader = results.ResultReader(FaultFreeReader(self.store), self.objects)
             data = b"".join(reader.read(key.partition("/")[0], False))
-            assert self.lines[result_key] in data, f"results of {key} not readable"
+            assert self.lines[result_key] in data, f"results of {key} are not readable"
 
     @stateful.invariant()
     def check_job_rows(self):
@@ -354,13 +355,13 @@
 
 
 class UnfencedMachine(BatchMachine):
-    """The same with a commit that does not name the claimed revision."""
+    """A batch machine whose commits are not conditional on the claimed revision."""
 
     commit = staticmethod(commit_without_fence)
 
 
-class FaultFree:
-    """Reads of a store that no scripted fault hits."""
+class FaultFreeReader:
+    """Reads of a store without the scripted faults."""
 
     def __init__(self, inner):
         self._inner = inner
@@ -384,7 +385,7 @@
 
 
 def run(machine, seed, examples, steps_per_example):
-    """Run a machine with a fixed seed; raises on a violated invariant."""
+    """Run a machine with a fixed seed; raise on a violated invariant."""
     machine.steps = 0
     machine.outcomes = collections.Counter()
     stateful.run_state_machine_as_test(
--- a/features/support/batch_storm.py
+++ b/features/support/batch_storm.py
@@ -1,4 +1,4 @@
-"""Several real runners in one process under store faults, lapses and deaths."""
+"""Real runners in one process with store faults, expired leases and crashes."""
 
 import random
 import threading
@@ -15,7 +15,7 @@
 
 
 class IdleLoads:
-    """Reports engines without online load."""
+    """Load reports of engines without online load."""
 
     def load_report(self, _target_name):
         model = batch_local.engine.LoadedModel(_MODEL, "1", ())
@@ -24,10 +24,10 @@
         )
 
 
-class Storm:
-    """Runs one job while a seeded generator brings about faults.
+class FaultInjectionRun:
+    """Runs one job while a seeded generator injects faults.
 
-    :param fault_share: share of the store's calls that go wrong
+    :param fault_share: share of the store's calls that fail
     """
 
     def __init__(self, seed, runners, items_count, fault_share):
@@ -41,10 +41,10 @@
         self.clock = clock.SystemClock()
         self.tasks = {}
         self.attempt_count = 0
-        self.send_s = 0.01
-        self.sent_at_s = []
-        self._original = attempts.send
-        attempts.send = self._answer
+        self.send_duration_s = 0.01
+        self.send_times_s = []
+        self._original_send = attempts.send
+        attempts.send = self._send
         self.job_id = self._create(items_count)
         self._next = 0
         for _ in range(runners):
@@ -53,7 +53,7 @@
     def close(self):
         for task in self.tasks.values():
             task.stop()
-        attempts.send = self._original
+        attempts.send = self._original_send
 
     def _choose_fault(self, _kind):
         with self._fault_lock:
@@ -61,12 +61,12 @@
                 return None
             return self.random.choice(list(testing.Fault))
 
-    def _answer(self, _pool, attempt):
+    def _send(self, _pool, attempt):
         self.attempt_count += 1
         if attempt.withdrawn.is_set():
             return attempts.Outcome(attempts.Kind.WITHDRAWN)
-        time.sleep(self.send_s)
-        self.sent_at_s.append(time.monotonic())
+        time.sleep(self.send_duration_s)
+        self.send_times_s.append(time.monotonic())
         body = {"echo": attempt.item.custom_id}
         return attempts.Outcome(attempts.Kind.ANSWERED, "", 200, body)
 
@@ -105,8 +105,8 @@
         self.tasks[name] = task
         task.start()
 
-    def lapse(self, name):
-        """The lease of a daemon lapses; it gets a new epoch a little later."""
+    def expire_lease(self, name):
+        """Expire the lease of a daemon and give it a new epoch 0.3 s later."""
         node = self.hub.nodes[name]
         self.hub.gone.add((name, node.epoch))
         node.is_valid = False
@@ -114,8 +114,8 @@
         node.epoch += 1
         node.is_valid = True
 
-    def replace(self, name):
-        """A daemon dies and a new one takes its place."""
+    def replace_runner(self, name):
+        """Remove a daemon and add a new one."""
         self.tasks.pop(name).stop()
         del self.hub.nodes[name]
         self.add_runner()
@@ -125,7 +125,7 @@
         return rows[self.job_id].value["state"] == "completed"
 
     def run(self, limit_s):
-        """Bring about lapses and deaths until the job has ended."""
+        """Inject expired leases and crashes until the job has completed."""
         deadline_s = time.monotonic() + limit_s
         events = random.Random(self.random.random())
         count = 0
@@ -135,7 +135,9 @@
             time.sleep(0.3)
             if count < 12:
                 name = events.choice(sorted(self.tasks))
-                (self.lapse if events.random() < 0.6 else self.replace)(name)
+                (self.expire_lease if events.random() < 0.6 else self.replace_runner)(
+                    name
+                )
                 count += 1
         return count
 
--- a/features/support/batch_world.py
+++ b/features/support/batch_world.py
@@ -9,7 +9,7 @@
 
 
 class World:
-    """A runner in this process with one real engine."""
+    """An in-process platform for runners, with one engine process."""
 
     def __init__(self, context, slots, item_ms):
         plan = fleet.FleetPlan(daemons=0, engines=1, slots=slots, token_ms=item_ms / 8)
