--- a/features/steps/decisions_parts_steps.py
+++ b/features/steps/decisions_parts_steps.py
@@ -71,7 +71,7 @@
 def step_check_gap(context):
     index = context.index
     index.apply_events([{"n": 9, "kind": "stored", "prefix_hashes": [7]}])
-    context.clock.advance(context.settings.doubtful_s + 1)
+    context.clock.advance(context.settings.gap_lifetime_s + 1)
     assert index.match((1, 2)) == 0, "prefixes from before the gap live on"
     assert index.match((7,)) == 1
 
--- a/features/support/fuzz_broken.py
+++ b/features/support/fuzz_broken.py
@@ -5,7 +5,7 @@
 from features.support import fuzz_scheduler
 
 
-class UntruthfulFlight(flights.Flight):
+class UntruthfulSentRequest(flights.SentRequest):
     """Broken: a broken connection counts as if nothing had been sent."""
 
     __slots__ = ()
@@ -20,7 +20,7 @@
 
     def _send_first(self, state, request, chosen):
         send = super()._send_first(state, request, chosen)
-        self._flights[request.request_id].__class__ = UntruthfulFlight
+        self._sent_requests[request.request_id].__class__ = UntruthfulSentRequest
         return send
 
 
--- a/features/support/fuzz_parts.py
+++ b/features/support/fuzz_parts.py
@@ -299,7 +299,7 @@
     """Broken: counts the echo of an own report as another death."""
 
     def _receive_death(self, fingerprint, wall_ms, target_name):
-        record = self._touch(fingerprint)
+        record = self._get_record(fingerprint)
         now_s = self._clock.monotonic_s()
         self._add(fingerprint, record, quarantine._Death("", wall_ms, now_s))
 
--- a/features/support/fuzz_relay.py
+++ b/features/support/fuzz_relay.py
@@ -81,11 +81,11 @@
         self.calls = []
         self.cancelled = set()
 
-    def open(self, ticket, attempt, body):
-        self.calls.append(("open", ticket, attempt, -1))
+    def open(self, call_number, attempt, body):
+        self.calls.append(("open", call_number, attempt, -1))
 
-    def resume(self, ticket, attempt, after_offset):
-        self.calls.append(("resume", ticket, attempt, after_offset))
+    def resume(self, call_number, attempt, after_offset):
+        self.calls.append(("resume", call_number, attempt, after_offset))
 
     def cancel(self, address, attempt_id, tries=1):
         self.cancelled.add(attempt_id)
@@ -210,21 +210,23 @@
             return True
         if not self.engines.calls:
             return False
-        kind, ticket, attempt, after_offset = self.engines.calls.pop(0)
+        kind, call_number, attempt, after_offset = self.engines.calls.pop(0)
         self.engine = std_types.SimpleNamespace(
             sock=FakeSocket(), attempt=attempt, next=after_offset + 1, kind=kind
         )
         self.engine.has_head = False
         self.ran.add(attempt.attempt_id)
-        self.relay.take_opened(messages.Opened(attempt, ticket, self.engine.sock))
+        self.relay.handle_opened(
+            messages.Opened(attempt, call_number, self.engine.sock)
+        )
         return not self.engine.sock.is_closed
 
     def _fail_call(self, was_sent):
-        _, ticket, attempt, _ = self.engines.calls.pop(0)
+        _, call_number, attempt, _ = self.engines.calls.pop(0)
         if was_sent:
             self.ran.add(attempt.attempt_id)
-        message = messages.OpenFailed(attempt, ticket, was_sent, "failed")
-        self.relay.take_open_failure(message)
+        message = messages.OpenFailed(attempt, call_number, was_sent, "failed")
+        self.relay.handle_open_failure(message)
 
     def _leave(self, choice):
         if choice < 2:
@@ -341,10 +343,10 @@
         if self.caller is None:
             return
         while self.engines.calls:
-            _, ticket, attempt, _ = self.engines.calls.pop(0)
+            _, call_number, attempt, _ = self.engines.calls.pop(0)
             sock = FakeSocket()
             self.ran.add(attempt.attempt_id)
-            self.relay.take_opened(messages.Opened(attempt, ticket, sock))
+            self.relay.handle_opened(messages.Opened(attempt, call_number, sock))
             assert sock.is_closed
         assert not self.relay.streams, "a stream never ended"
         assert self.caller.is_closed
--- a/src/endivevane/online/__init__.py
+++ b/src/endivevane/online/__init__.py
@@ -1,1 +1,1 @@
-"""Online requests: HTTP front end, admission, routing and streams."""
+"""Online requests: HTTP front end, admission, routing and streaming."""
--- a/src/endivevane/online/answers.py
+++ b/src/endivevane/online/answers.py
@@ -1,4 +1,4 @@
-"""Bytes of the HTTP answers that the relay writes to callers."""
+"""Encoding of the HTTP responses that the relay sends to callers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def make_stream_head(request_id: str, is_chunked: bool) -> bytes:
-    """Return the head of a streamed answer.
+    """Return the head of a streamed response.
 
-    :param is_chunked: whether the caller's HTTP version has chunked transfer encoding
+    :param is_chunked: whether the caller's HTTP version supports chunked encoding
     """
     headers = {
         "Content-Type": "text/event-stream; charset=utf-8",
@@ -31,7 +31,7 @@
     body: bytes,
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """Return a whole answer with a JSON body."""
+    """Return a complete response with a JSON body."""
     fields = {
         "Content-Type": "application/json",
         "Content-Length": str(len(body)),
@@ -41,23 +41,23 @@
 
 
 def make_error(error: errors.ApiError, request_id: str) -> bytes:
-    """Return the whole answer of a refusal or failure."""
+    """Return the complete response for an error."""
     return make_whole(
         error.status, request_id, error.encode_body(), error.make_headers()
     )
 
 
 def make_error_event(error: errors.ApiError) -> bytes:
-    """Return the event that ends a stream whose head was already sent.
+    """Return the error event for a stream whose head was already sent.
 
-    It carries the run state, since the headers can't tell it any more.
+    The event contains the run state, since no header can be sent any more.
     """
     described = {**error.describe(), "run_state": error.run_state.value}
     return sse.encode_events([utils.encode_json({"error": described})])
 
 
 def make_chunk(data: bytes) -> bytes:
-    """Return data in the framing of chunked transfer encoding."""
+    """Return data as one chunk of chunked transfer encoding."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/src/endivevane/online/at_most_once.py
+++ b/src/endivevane/online/at_most_once.py
@@ -1,4 +1,4 @@
-"""Outcomes of calls that run at most once: storing, replaying, waiting."""
+"""Claims and stored outcomes of calls that run at most once."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 # Rows of the table service stay small; larger bodies go to the object store.
 _MAX_INLINE_BYTES = 64 << 10
-# Threads that write outcomes, and writes that may wait for them.
+# Threads that write outcomes, and limit of writes queued or running.
 _WRITERS = 4
-_MAX_WRITES = 16
+_MAX_PENDING_WRITES = 16
 _KEPT_HEADERS = (
     "cache-control",
     "content-disposition",
@@ -36,23 +36,25 @@
 
 
 class KeyReused(errors.InvalidRequest):
-    """The idempotency key belongs to a call with another content."""
+    """The idempotency key was used for a call with different content."""
 
     status, code = 422, "idempotency_key_reused"
 
 
-def make_expired_error(sight: register.Expired) -> errors.OutcomeExpired:
-    """Return the answer to a call whose outcome is being deleted."""
+def make_expired_error(expired: register.Expired) -> errors.OutcomeExpired:
+    """Return the error for a call whose stored outcome has expired."""
     return errors.OutcomeExpired(
         "a call with this Idempotency-Key was accepted before and its outcome is no "
         "longer kept; it is not sent again",
-        run_state=types.RunState.RAN if sight.has_run else types.RunState.MAY_HAVE_RUN,
+        run_state=types.RunState.RAN
+        if expired.has_run
+        else types.RunState.MAY_HAVE_RUN,
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """The answer of a target as it is passed on and stored.
+    """The response of a target as it is forwarded and stored.
 
     :param headers: header names in lower case, without hop-by-hop headers
     """
@@ -63,21 +65,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Waiting:
-    """A large answer whose object could not be written yet."""
+class _PendingAnswer:
+    """A large response whose object could not be written yet."""
 
     claim: register.Claim
     answer: Answer
 
 
-class ClaimGate:
-    """Claims keys on a few threads at a time.
+class ClaimLimiter:
+    """Limits the number of concurrent claims.
 
-    A table service that accepts calls and never answers would otherwise hold all
-    worker threads of the HTTP server, and with them the calls that need no store.
+    A table service that accepts calls and never answers would otherwise block all
+    worker threads of the HTTP server, including those for calls that need no store.
 
-    :param max_concurrent: claims under way at a time
-    :param wait_s: how long a further claim waits for its turn
+    :param max_concurrent: maximum concurrent claims
+    :param wait_s: how long a further claim waits for a permit
     """
 
     def __init__(
@@ -88,7 +90,7 @@
     ) -> None:
         self._register = call_register
         self._wait_s = wait_s
-        self._turns = threading.BoundedSemaphore(max_concurrent)
+        self._permits = threading.BoundedSemaphore(max_concurrent)
 
     def claim(
         self,
@@ -99,45 +101,46 @@
         may_continue: abc.Callable[[], bool],
     ) -> result.Result[register.ClaimResult, store.StoreError]:
         """Claim a key, see :meth:`register.Register.claim`."""
-        if not self._turns.acquire(timeout=self._wait_s):
+        if not self._permits.acquire(timeout=self._wait_s):
             return result.Err(store.StoreUnavailable("too many claims are waiting"))
         try:
             return self._register.claim(organisation, key, digest, now_ms, may_continue)
         finally:
-            self._turns.release()
+            self._permits.release()
 
 
 class OutcomeKeeper:
-    """Stores answers in the register, and later what can't be stored now.
+    """Stores responses in the register, retrying later what can't be stored now.
 
-    Thread-safe. The writes run on threads of their own, because the caller gets its
-    answer soon even when the store is silent.
+    Thread-safe. Writes run on separate threads, so that an unresponsive store delays
+    the caller's response only briefly.
 
-    :param max_waiting_bytes: bodies kept in memory while the object store is down
-    :param patience_s: how long an answer is held back until it is stored
+    :param max_pending_bytes: limit of bodies kept in memory while the object store is
+        down
+    :param store_timeout_s: how long a response waits for its outcome to be stored
     """
 
     def __init__(
         self,
         call_register: register.Register,
         object_client: objects.ObjectClient,
-        max_waiting_bytes: int = 8 << 20,
-        patience_s: float = 0.5,
+        max_pending_bytes: int = 8 << 20,
+        store_timeout_s: float = 0.5,
     ) -> None:
         self._register = call_register
         self._objects = object_client
-        self._max_waiting_bytes = max_waiting_bytes
-        self._waiting: collections.deque[_Waiting] = collections.deque()
-        self._waiting_bytes = 0
+        self._max_pending_bytes = max_pending_bytes
+        self._pending: collections.deque[_PendingAnswer] = collections.deque()
+        self._pending_bytes = 0
         self._lock = threading.Lock()
-        self._patience_s = patience_s
+        self._store_timeout_s = store_timeout_s
         self._writes = 0
         self._executor = concurrent.futures.ThreadPoolExecutor(
             _WRITERS, thread_name_prefix="outcomes"
         )
 
     def keep(self, claim: register.Claim, answer: Answer) -> register.RecordStatus:
-        """Store an answer, now or later."""
+        """Store a response, now or later."""
         return self._run(claim, answer)
 
     def release(self, claim: register.Claim) -> register.RecordStatus:
@@ -147,15 +150,15 @@
     def _run(
         self, claim: register.Claim, answer: Answer | None
     ) -> register.RecordStatus:
-        """Write on an executor's thread and wait for a short time only."""
+        """Write on an executor's thread and wait up to the store timeout."""
         with self._lock:
-            has_room = self._writes < _MAX_WRITES
+            has_room = self._writes < _MAX_PENDING_WRITES
             self._writes += has_room
         if not has_room:
             return self._write_later(claim, answer)
         future = self._executor.submit(self._write, claim, answer)
         try:
-            return future.result(self._patience_s)
+            return future.result(self._store_timeout_s)
         except concurrent.futures.TimeoutError:
             return register.RecordStatus.DEFERRED
 
@@ -179,26 +182,26 @@
         if answer is None:
             return self._register.defer(claim, None)
         if len(answer.body) > _MAX_INLINE_BYTES:
-            recording = self._put_off(_Waiting(claim, answer))
+            record_status = self._defer_upload(_PendingAnswer(claim, answer))
         else:
-            recording = self._register.defer(claim, _describe(claim, answer))
-        if recording is register.RecordStatus.LOST:
+            record_status = self._register.defer(claim, _describe(claim, answer))
+        if record_status is register.RecordStatus.LOST:
             logs.error("outcome_lost", key=claim.row_key)
-        return recording
+        return record_status
 
     def _store(self, claim: register.Claim, answer: Answer) -> register.RecordStatus:
         if len(answer.body) > _MAX_INLINE_BYTES and not self._put(claim, answer):
-            recording = self._put_off(_Waiting(claim, answer))
+            record_status = self._defer_upload(_PendingAnswer(claim, answer))
         else:
-            recording = self._register.record(claim, _describe(claim, answer))
-        if recording is register.RecordStatus.LOST:
+            record_status = self._register.record(claim, _describe(claim, answer))
+        if record_status is register.RecordStatus.LOST:
             logs.error("outcome_lost", key=claim.row_key)
-        return recording
+        return record_status
 
     def restore(
         self, outcome: abc.Mapping[str, typing.Any]
     ) -> result.Result[Answer, objects.ObjectStoreError]:
-        """Return a stored answer; an error when its object can't be read."""
+        """Return a stored response, or an error if its object can't be read."""
         name = outcome.get("object")
         if name is None:
             body = base64.b64decode(outcome["body"])
@@ -211,37 +214,37 @@
         )
 
     def flush(self) -> int:
-        """Try to store what waits; return how much still does."""
-        for _ in range(len(self._waiting)):
+        """Try to store pending outcomes; return how many remain."""
+        for _ in range(len(self._pending)):
             with self._lock:
-                if not self._waiting:
+                if not self._pending:
                     break
-                waiting = self._waiting.popleft()
-                self._waiting_bytes -= len(waiting.answer.body)
-            if not self._put(waiting.claim, waiting.answer):
-                self._put_off(waiting)
+                pending = self._pending.popleft()
+                self._pending_bytes -= len(pending.answer.body)
+            if not self._put(pending.claim, pending.answer):
+                self._defer_upload(pending)
                 break
             self._register.record(
-                waiting.claim, _describe(waiting.claim, waiting.answer)
+                pending.claim, _describe(pending.claim, pending.answer)
             )
-        return self._register.flush() + len(self._waiting)
+        return self._register.flush() + len(self._pending)
 
     def _put(self, claim: register.Claim, answer: Answer) -> bool:
         outcome = self._objects.put(_name_object(claim), answer.body)
         return isinstance(outcome, result.Ok)
 
-    def _put_off(self, waiting: _Waiting) -> register.RecordStatus:
-        size_bytes = len(waiting.answer.body)
+    def _defer_upload(self, pending: _PendingAnswer) -> register.RecordStatus:
+        size_bytes = len(pending.answer.body)
         with self._lock:
-            if self._waiting_bytes + size_bytes > self._max_waiting_bytes:
+            if self._pending_bytes + size_bytes > self._max_pending_bytes:
                 return register.RecordStatus.LOST
-            self._waiting.append(waiting)
-            self._waiting_bytes += size_bytes
+            self._pending.append(pending)
+            self._pending_bytes += size_bytes
             return register.RecordStatus.DEFERRED
 
 
 def _describe(claim: register.Claim, answer: Answer) -> dict[str, typing.Any]:
-    """Return the JSON object that stands for an answer in the register."""
+    """Return the JSON object that represents a response in the register."""
     outcome: dict[str, typing.Any] = {
         "status": answer.status,
         "headers": {
@@ -258,10 +261,10 @@
 
 
 def make_object_key(row_key: str, claim_id: str) -> str:
-    """Return the key of the object that may hold the body of a claim's answer."""
+    """Return the key of the object that may hold the body of a claim's response."""
     return f"register/{utils.digest_text(row_key)}/{claim_id}"
 
 
 def _name_object(claim: register.Claim) -> str:
-    """Return the key of a large body; the claim makes it unique."""
+    """Return the object key of a large body, unique per claim."""
     return make_object_key(claim.row_key, claim.operation_id)
--- a/src/endivevane/online/bodies.py
+++ b/src/endivevane/online/bodies.py
@@ -13,11 +13,11 @@
 from endivevane.online import contract
 from endivevane.web import errors
 
-# Engines hash prompts in blocks of this size, see the cache events of their protocol.
+# Block size in which engines hash prompts, see the cache events of their protocol.
 _PREFIX_BLOCK_BYTES = contract.PREFIX_BLOCK_BYTES
 _MAX_PREFIXES = 256
-# These fields do not change what an engine computes.
-_VOLATILE = frozenset(("stream", "stream_options", "user", "metadata"))
+# Fields that do not affect the output of an engine.
+_NON_SEMANTIC_FIELDS = frozenset(("stream", "stream_options", "user", "metadata"))
 
 
 class MessageModel(pydantic.BaseModel):
@@ -32,7 +32,7 @@
 class CompletionModel(pydantic.BaseModel):
     """The fields of a chat completion that the daemon acts on.
 
-    All other fields of the OpenAI HTTP API are passed on as they are.
+    All other fields of the OpenAI HTTP API are forwarded unchanged.
     """
 
     model_config = pydantic.ConfigDict(extra="allow", strict=True)
@@ -57,9 +57,9 @@
 def parse_body(
     request: werkzeug.wrappers.Request,
 ) -> tuple[CompletionModel, dict[str, typing.Any]]:
-    """Return the validated fields and the whole body.
+    """Return the validated fields and the complete body.
 
-    :raises errors.InvalidRequest: when the body is malformed
+    :raises errors.InvalidRequest: if the body is malformed
     """
     data = request.get_data(cache=False)
     try:
@@ -70,7 +70,7 @@
         raise errors.InvalidRequest("the body must be a JSON object")
     try:
         fields = CompletionModel.model_validate(body)
-        # Values can be nested more deeply than the encoder follows.
+        # Values may be nested more deeply than the encoder supports.
         utils.encode_json(body)
     except pydantic.ValidationError as error:
         raise _describe(error) from error
@@ -80,16 +80,17 @@
 
 
 def make_fingerprint(model: str, body: dict[str, typing.Any]) -> str:
-    """Return a digest of what an engine computes, for the quarantine."""
-    relevant = {key: value for key, value in body.items() if key not in _VOLATILE}
+    """Return a digest of the model and the fields that affect the output."""
+    relevant = {
+        key: value for key, value in body.items() if key not in _NON_SEMANTIC_FIELDS
+    }
     return utils.digest_text(model, utils.encode_json(relevant).decode())
 
 
 def hash_prefixes(model: str, messages: list[dict[str, typing.Any]]) -> tuple[int, ...]:
-    """Return one hash per block of the prompt, each over all bytes before its end.
+    """Return one hash per block of the prompt, each over all bytes up to its end.
 
-    The model's name goes in first, since the cache of one model is of no use to
-    another.
+    The hash includes the model's name, since models do not share caches.
     """
     prompt = _render_prompt(messages)[: _MAX_PREFIXES * _PREFIX_BLOCK_BYTES]
     state = xxhash.xxh64(model.encode() + b"\n")
--- a/src/endivevane/online/caller.py
+++ b/src/endivevane/online/caller.py
@@ -1,4 +1,4 @@
-"""The caller's side of a relayed request."""
+"""The caller's connection of a relayed request."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 _RECV_BYTES = 16 << 10
 # Bytes that a caller may send after its request; a pipelined request is not served,
-# because the connection ends with the answer.
+# because the connection is closed after the response.
 _MAX_IGNORED_BYTES = 1 << 20
 
 
 class CallerConnection:
-    """Writes to a caller without blocking and notices when it leaves.
+    """Writes to a caller without blocking and detects when it disconnects.
 
-    :param on_left: called once when the caller closes or breaks its connection
-    :param on_writable: called after buffered bytes could be written
+    :param on_left: called once when the caller's connection is closed or broken
+    :param on_writable: called after buffered bytes were written
     """
 
     __slots__ = (
@@ -54,11 +54,11 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes that the caller has not taken yet."""
+        """Number of bytes buffered for the caller."""
         return len(self._buffer)
 
     def write(self, data: bytes, now_s: float) -> None:
-        """Send data, and buffer what the socket does not take."""
+        """Send data and buffer what the socket does not accept."""
         if not self.is_open:
             return
         if self._buffer:
@@ -70,7 +70,7 @@
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError as error:
-            self._leave(str(error))
+            self._disconnect(str(error))
             return
         if sent < len(data):
             self._buffer += memoryview(data)[sent:]
@@ -83,7 +83,7 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self._leave(str(error))
+            self._disconnect(str(error))
             return
         self.progress_s = now_s
         del self._buffer[:sent]
@@ -97,8 +97,8 @@
             return
         self.is_open = False
         self._poller.set_events(self._sock, 0, self._handle)
-        # Unread bytes would make the close a reset, which can destroy the end of the
-        # answer on its way.
+        # Closing with unread bytes sends a reset, which can discard the end of the
+        # response in transit.
         with contextlib.suppress(OSError):
             self._sock.recv(_RECV_BYTES)
         self._sock.close()
@@ -121,12 +121,12 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            self._leave(str(error))
+            self._disconnect(str(error))
             return
         self._ignored_bytes += len(data)
         if not data or self._ignored_bytes > _MAX_IGNORED_BYTES:
-            self._leave("closed by the caller")
+            self._disconnect("closed by the caller")
 
-    def _leave(self, detail: str) -> None:
+    def _disconnect(self, detail: str) -> None:
         self.close()
         self._on_left(detail)
--- a/src/endivevane/online/contract.py
+++ b/src/endivevane/online/contract.py
@@ -1,4 +1,4 @@
-"""Data that the front end, the scheduler and the relay exchange."""
+"""Data types shared by the front end, the scheduler and the relay."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from endivevane.configuration import snapshot
 from endivevane.web import errors
 
-# Bytes of the prompt for each of its prefix hashes.
+# Bytes of the prompt per prefix hash.
 PREFIX_BLOCK_BYTES = 256
 
 
@@ -18,11 +18,11 @@
 class OnlineRequest:
     """One online request for a model, parsed and validated.
 
-    :param body: JSON body as the caller sent it
+    :param body: JSON body as sent by the caller
     :param is_streamed: whether the caller wants server-sent events
     :param is_deterministic: whether a second run gives the same output
     :param received_s: monotonic time of arrival
-    :param deadline_s: monotonic time by which the answer must be complete
+    :param deadline_s: monotonic time by which the response must be complete
     :param fingerprint: digest of model and body, for the quarantine
     :param prefix_hashes: hashes of growing prompt prefixes, shortest first
     """
@@ -43,11 +43,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One try of a request at one target.
+    """One attempt of a request at one target.
 
-    :param attempt_id: goes to the engine as ``X-Request-Id``
+    :param attempt_id: sent to the engine as ``X-Request-Id``
     :param number: 1 for the first attempt
-    :param prefill: engine that computes the prompt first, ``None`` for the target
+    :param prefill: engine that computes the prompt, ``None`` for the target itself
     """
 
     attempt_id: str
@@ -59,7 +59,7 @@
 
 
 class AttemptFailure(enum.StrEnum):
-    """How an attempt failed; also the reason label of the retry counters."""
+    """How an attempt failed; used as the reason label of the retry counters."""
 
     CONNECT_FAILED = "connect_failed"
     REFUSED_NOT_RUN = "refused_not_run"
@@ -71,7 +71,7 @@
 
 
 class AttemptOutcome(enum.StrEnum):
-    """How an attempt ended without a further try."""
+    """How a request's last attempt ended."""
 
     COMPLETED = "completed"
     CALLER_LEFT = "caller_left"
@@ -87,14 +87,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits inside the scheduler."""
+    """The request waits in the scheduler's queue."""
 
     request: OnlineRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Answer the caller with the error at once."""
+    """Send the error to the caller immediately."""
 
     request: OnlineRequest
     error: errors.ApiError
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Resume:
-    """Open a new connection to the same engine and resume after the offset."""
+    """Reconnect to the same engine and resume after the offset."""
 
     attempt: Attempt
     after_offset: int
@@ -110,7 +110,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """The request waits inside the scheduler before its next attempt."""
+    """The request waits in the scheduler before its next attempt."""
 
     request: OnlineRequest
 
@@ -127,7 +127,7 @@
 class UseNotice:
     """Tell the batch sender of a target how many online requests run there.
 
-    :param in_flight: requests of this daemon in flight at the target
+    :param in_flight: this daemon's requests in flight at the target
     """
 
     target: snapshot.Target
--- a/src/endivevane/online/delivery.py
+++ b/src/endivevane/online/delivery.py
@@ -1,4 +1,4 @@
-"""The answer of one request as its caller gets it."""
+"""Composition of the response that a caller receives."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Delivery:
-    """Composes the answer from events in the order of their offsets.
+    """Composes the response from events in the order of their offsets.
 
-    A streamed answer goes out event by event, an unstreamed one is collected.
+    Events of a streamed response are forwarded, those of an unstreamed one collected.
 
-    :ivar last_offset: last offset taken in, -1 for none
+    :ivar last_offset: offset of the last event added, -1 for none
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         self._is_deterministic = request.is_deterministic
         self._caller = connection
         self._has_head = False
-        # Whether only chunks of events follow, because the head was sent.
+        # Whether the head was sent with chunked encoding, so that only chunks follow.
         self._is_plain = False
         self._ready: list[bytes] = []
         self._collected: list[bytes] = []
@@ -35,31 +35,31 @@
 
     @property
     def caller_offset(self) -> int:
-        """Last offset that the caller has; -1 while an answer is collected.
+        """Last offset sent to the caller, -1 if the response is collected.
 
-        The scheduler decides by it whether another run has to be the same.
+        The scheduler uses it to decide whether a rerun must have the same output.
         """
         return self.last_offset if self._request.is_streamed else -1
 
     @property
     def can_rerun(self) -> bool:
-        """Whether another run can't contradict what the caller has."""
+        """Whether a rerun can't contradict what was sent to the caller."""
         return self.caller_offset < 0 or self._request.is_deterministic
 
     def begin_run(self) -> None:
-        """Expect a run of the request from its first event."""
+        """Prepare for a run of the request from its first event."""
         self._rerun_digest = xxhash.xxh3_128()
         if not self._request.is_streamed:
-            # Nothing has reached the caller, so the new answer replaces the old one.
+            # Nothing was sent to the caller, so the new response replaces the old one.
             self.last_offset = -1
             self._collected, self.collected_bytes = [], 0
 
     def take(self, offset: int, payload: bytes) -> bool:
-        """Take in the next event of the run under way.
+        """Add the next event of the current run.
 
-        An event that the caller has from an earlier run is compared and withheld.
+        Events that the caller has from an earlier run are compared and not sent again.
 
-        :return: ``False`` when the two runs are found to differ
+        :return: ``False`` if the two runs are found to differ
         """
         if not self._is_streamed:
             self.last_offset = offset
@@ -80,12 +80,12 @@
         return self._rerun_digest.digest() == self._sent_digest.digest()
 
     def forward(self, now_s: float) -> None:
-        """Write the events taken in since the last call."""
+        """Write the events added since the last call."""
         ready = self._ready
         if not ready:
             return
         if len(ready) == 1 and self._is_plain and b"\n" not in ready[0]:
-            # The usual case in one step.
+            # Fast path for the most common case.
             payload = ready.pop()
             data = b"%x\r\ndata: %b\n\n\r\n" % (len(payload) + 8, payload)
             self._caller.write(data, now_s)
@@ -95,9 +95,9 @@
         self._write(data, now_s, is_last=False)
 
     def complete(self, now_s: float) -> None:
-        """Write the end of a whole answer.
+        """Write the end of a complete response.
 
-        :raises ValueError: when an unstreamed answer can't be composed
+        :raises ValueError: if an unstreamed response can't be composed
         """
         if self._request.is_streamed:
             self._ready.append(sse.DONE)
@@ -112,14 +112,15 @@
     def write_whole(
         self, status: int, body: bytes, headers: dict[str, str], now_s: float
     ) -> None:
-        """Write a whole answer with a JSON body; nothing may be written before."""
+        """Write a complete response with a JSON body; must be the first write."""
         data = answers.make_whole(status, self._request.request_id, body, headers)
         self._caller.write(data, now_s)
 
     def write_error(self, error: errors.ApiError, now_s: float) -> None:
-        """Write an error: an HTTP answer, or an event after the head was sent.
+        """Write an error as a response, or as an event after the head was sent.
 
-        The stream is not ended properly then, so that nobody takes it for whole.
+        In the second case the chunked encoding is not terminated, so that the caller
+        does not take the response for complete.
         """
         if not self._has_head:
             headers = error.make_headers()
--- a/src/endivevane/online/demand.py
+++ b/src/endivevane/online/demand.py
@@ -1,4 +1,4 @@
-"""Counts the online demand for each model at this daemon."""
+"""Measurement of this daemon's online demand per model."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from endivevane.online import contract
 from endivevane.web import errors
 
-# Long against the gaps between requests, short against the load of a model.
+# Much longer than the gaps between requests, much shorter than loading a model.
 _TIME_CONSTANT_S = 10.0
-# Below this all figures of a model count as none.
+# A model whose figures are all below this counts as without demand.
 _MIN_FIGURE = 0.005
 _Key = tuple[str, str]
-_LACK_OF_ROOM = (errors.Overloaded, errors.Unavailable, errors.DeadlineExceeded)
+_CAPACITY_ERRORS = (errors.Overloaded, errors.Unavailable, errors.DeadlineExceeded)
 
 
 class _Counts:
-    """Counts of one model of one service."""
+    """Demand for one model of one service."""
 
     def __init__(self, now_s: float) -> None:
         self.sent = rates.DecayedRate(_TIME_CONSTANT_S, now_s)
@@ -39,10 +39,10 @@
 
 
 class DemandCounter:
-    """Counts requests by service and model.
+    """Counts requests by service and model. Thread-safe.
 
-    The relay's thread records and the orders' thread reads, so a lock guards the
-    counts. A request for an adapter counts for the adapter's model.
+    The relay's thread records and the orders' thread reads. A request for an adapter
+    counts for the adapter's model.
     """
 
     def __init__(self, counter_clock: clock.Clock) -> None:
@@ -64,7 +64,7 @@
                 counts.sent.add(now_s)
 
     def end(self, attempt_id: str) -> None:
-        """Note that an attempt is over."""
+        """Record that an attempt has ended."""
         with self._lock:
             counts = self._running.pop(attempt_id, None)
             if counts is not None:
@@ -79,20 +79,20 @@
             counts.waiting.change(1, now_s)
 
     def end_waiting(self, request_id: str) -> None:
-        """Note that a request has left the queue."""
+        """Record that a request has left the queue."""
         with self._lock:
             self._end_waiting(request_id, self._clock.monotonic_s())
 
     def record_refusal(self, refusal: contract.Refuse) -> contract.Refuse:
-        """Count a refusal before any attempt if its reason is a lack of room."""
-        if isinstance(refusal.error, _LACK_OF_ROOM):
+        """Count a refusal before any attempt if it is due to a lack of capacity."""
+        if isinstance(refusal.error, _CAPACITY_ERRORS):
             now_s = self._clock.monotonic_s()
             with self._lock:
                 self._find(refusal.request, now_s).refused.add(now_s)
         return refusal
 
     def record_tokens(self, request: contract.OnlineRequest, tokens: int) -> None:
-        """Count the tokens of an answer, at its end."""
+        """Count the tokens of a response at its end."""
         now_s = self._clock.monotonic_s()
         with self._lock:
             self._find(request, now_s).tokens.add(now_s, tokens)
--- a/src/endivevane/online/dispatcher.py
+++ b/src/endivevane/online/dispatcher.py
@@ -1,4 +1,4 @@
-"""Carries out the scheduler's decisions on the relay's streams."""
+"""Applies the scheduler's decisions to the relay's streams."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 )
 from endivevane.web import errors
 
-# An engine that does not know an attempt may still be reading its request.
+# Cancellations are retried, since an engine that answers "unknown attempt" may still
+# be reading the request.
 _CANCEL_TRIES = 3
 _CANCEL_RETRY_S = 0.3
 
@@ -34,9 +35,9 @@
 
 
 class Dispatcher:
-    """Owns the streams; the relay's thread alone uses it.
+    """Owns the streams; used by the relay's thread only.
 
-    :param publish: gets what other daemons must know; must return at once
+    :param publish: sends updates to other daemons; must not block
     :ivar now_s: monotonic time of the current round of events
     """
 
@@ -60,7 +61,7 @@
         self._publish = publish
 
     def submit(self, message: messages.SubmitRequest) -> None:
-        """Take on a request, or refuse it at once."""
+        """Accept a request or refuse it immediately."""
         request = message.request
         current = stream.Stream(message, self)
         self.streams[request.request_id] = current
@@ -77,43 +78,44 @@
             return
         self._apply(current, self.scheduler.submit(request))
         if current.phase is stream_states.Phase.QUEUED:
-            self.watch_limit(current)
+            self.schedule_check(current)
         self.request_poll()
 
-    def take_opened(self, message: messages.Opened) -> None:
-        """Give a connection to the stream that waits for it."""
+    def handle_opened(self, message: messages.Opened) -> None:
+        """Pass a connection to the stream that waits for it."""
         current = self.streams.get(message.attempt.request.request_id)
-        if current is not None and current.ticket == message.ticket:
-            current.take_connection(message.sock)
+        if current is not None and current.call_number == message.call_number:
+            current.attach_connection(message.sock)
             return
-        # Given up meanwhile; a cancellation may have overtaken the request.
+        # The stream no longer waits. An earlier cancellation may have reached the
+        # engine before the request did, so the attempt is cancelled again.
         message.sock.close()
         if current is None or current.attempt is not message.attempt:
             self.cancel_attempt(message.attempt)
 
-    def take_prompt(self, message: messages.PromptReady) -> None:
-        """Send an attempt whose prompt another engine has computed, or has not."""
+    def handle_prompt(self, message: messages.PromptReady) -> None:
+        """Send an attempt to its target after its handover has ended."""
         attempt = message.attempt
         request = attempt.request
-        if message.has_died and attempt.prefill is not None:
+        if message.has_crashed and attempt.prefill is not None:
             self.scheduler.record_death(request.fingerprint, attempt.prefill.name)
         current = self.streams.get(request.request_id)
-        if current is None or current.ticket != message.ticket:
+        if current is None or current.call_number != message.call_number:
             return
         error = self.scheduler.check_quarantine(request)
         if error is not None:
             current.fail(error, stream_states.Outcome.FAILED)
             return
-        self._engines.send(message.ticket, attempt, message.body)
+        self._engines.send(message.call_number, attempt, message.body)
 
-    def take_open_failure(self, message: messages.OpenFailed) -> None:
-        """Tell the stream that waits for a connection."""
+    def handle_open_failure(self, message: messages.OpenFailed) -> None:
+        """Notify the stream that waits for the connection."""
         current = self.streams.get(message.attempt.request.request_id)
-        if current is not None and current.ticket == message.ticket:
+        if current is not None and current.call_number == message.call_number:
             current.fail_call(message.was_sent, message.detail)
 
     def retry_cancel(self, message: messages.CancelMissed) -> None:
-        """Cancel an attempt again that its engine did not know."""
+        """Retry the cancellation of an attempt that its engine did not know."""
         if message.tries >= _CANCEL_TRIES:
             return
         again = functools.partial(
@@ -125,11 +127,11 @@
         self.timers.schedule(self.now_s + _CANCEL_RETRY_S, again)
 
     def request_poll(self) -> None:
-        """Ask the scheduler for decisions at the end of the round."""
+        """Poll the scheduler at the end of the round."""
         self.poll_at_s = self.now_s
 
     def poll_scheduler(self) -> None:
-        """Send or refuse queued requests and pass on what others must know."""
+        """Apply the scheduler's decisions and publish its updates."""
         for decision in self.scheduler.poll():
             if isinstance(decision, contract.Send):
                 request = decision.attempt.request
@@ -150,7 +152,7 @@
         next_s = self.scheduler.next_timer_s()
         self.poll_at_s = float("inf") if next_s is None else next_s
 
-    def break_stream(self, current: stream.Stream) -> None:
+    def fail_stream(self, current: stream.Stream) -> None:
         """End a stream after an unexpected exception."""
         error = errors.ApiError(
             "internal error; see the daemon's log",
@@ -159,7 +161,7 @@
         current.fail(error, stream_states.Outcome.FAILED)
 
     def find_stream(self, message: object) -> stream.Stream | None:
-        """Return the stream that a message belongs to, if there is one."""
+        """Return the stream that a message belongs to, or ``None``."""
         request = getattr(message, "request", None)
         attempted = messages.Opened | messages.OpenFailed | messages.PromptReady
         if isinstance(message, attempted):
@@ -167,30 +169,30 @@
         return self.streams.get(getattr(request, "request_id", ""))
 
     def stop_all(self) -> None:
-        """Break all streams."""
+        """Break off all streams."""
         for current in list(self.streams.values()):
             current.stop()
 
     def open_attempt(self, current: stream.Stream, body: bytes) -> None:
         """Start the stream's attempt at its target."""
         if current.attempt is not None:
-            self._engines.open(current.ticket, current.attempt, body)
+            self._engines.open(current.call_number, current.attempt, body)
 
     def resume_attempt(self, current: stream.Stream) -> None:
         """Continue the stream's attempt on a new connection."""
         if current.attempt is not None:
-            self._engines.resume(current.ticket, current.attempt, current.received)
+            self._engines.resume(current.call_number, current.attempt, current.received)
 
     def cancel_attempt(self, attempt: contract.Attempt) -> None:
         """Cancel an attempt at its target."""
         self._engines.cancel(attempt.target.address, attempt.attempt_id)
 
     def find_meter(self, attempt: contract.Attempt) -> abc.Callable[[int], None] | None:
-        """Return what counts an attempt's bytes, ``None`` if nothing has to."""
+        """Return the byte counter of an attempt, or ``None``."""
         return self.scheduler.find_meter(attempt)
 
     def record_first_event(self, current: stream.Stream) -> None:
-        """Note the first event of an attempt."""
+        """Record the first event of an attempt."""
         if current.attempt is not None:
             self.scheduler.record_first_token(current.attempt)
         if current.first_event_s == self.now_s:
@@ -218,22 +220,24 @@
         )
         offset = current.delivery.caller_offset
         decision = self.scheduler.retry(attempt, failure, offset)
-        is_moving = isinstance(decision, contract.Send | contract.Hold)
-        if is_moving and current.may_be_running:
+        is_retried = isinstance(decision, contract.Send | contract.Hold)
+        if is_retried and current.may_be_running:
             self.cancel_attempt(attempt)
         self._apply(current, decision)
         self.request_poll()
 
-    def watch_limit(self, current: stream.Stream) -> None:
-        """Look at the stream again at its time limit."""
-        limit_s = current.limit_s()
-        if limit_s < current.timer_at_s:
-            current.timer_at_s = limit_s
+    def schedule_check(self, current: stream.Stream) -> None:
+        """Check the stream again at its next time limit."""
+        next_check_s = current.next_check_s()
+        if next_check_s < current.timer_at_s:
+            current.timer_at_s = next_check_s
             request_id = current.request.request_id
-            self.timers.schedule(limit_s, functools.partial(self._check, request_id))
+            self.timers.schedule(
+                next_check_s, functools.partial(self._check, request_id)
+            )
 
     def end_stream(self, current: stream.Stream) -> None:
-        """Forget the stream."""
+        """Remove the stream and report its end."""
         outcome = current.outcome or stream_states.Outcome.STOPPED
         self.streams.pop(current.request.request_id, None)
         if current.attempt is None:
@@ -255,7 +259,7 @@
         current.timer_at_s = float("inf")
         current.check_limits()
         if not current.is_ended:
-            self.watch_limit(current)
+            self.schedule_check(current)
 
     def _apply(
         self,
--- a/src/endivevane/online/engine_connection.py
+++ b/src/endivevane/online/engine_connection.py
@@ -1,4 +1,4 @@
-"""The engine's side of a relayed request."""
+"""The engine's connection of a relayed request."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 from endivevane import exceptions
 from endivevane.online import contract, poller, reader, sse
 
-# A larger buffer is allocated anew for each token and costs more than a second read.
+# recv allocates a buffer of this size per call, usually for one token; a larger one
+# costs more than a second read.
 _RECV_BYTES = 8 << 10
 
 
 class Listener(typing.Protocol):
-    """Takes what an engine sends; may close the connection in each call."""
+    """Handles what an engine sends; may close the connection in each call."""
 
     def take_events(self, events: list[sse.Event], now_s: float) -> None:
-        """Take events of the stream."""
+        """Handle events of the stream."""
 
     def take_refusal(self, reply: reader.Reply, body: bytes) -> None:
-        """Take a whole answer that is not a stream."""
+        """Handle a complete response that is not a stream."""
 
     def take_break(self, failure: contract.AttemptFailure, detail: str) -> None:
-        """Note that nothing more will come."""
+        """Handle the end or failure of the connection."""
 
 
 class EngineConnection:
     """Reads one response of an engine.
 
     :param sock: non-blocking socket on which the call has been sent
-    :param source: name of the engine, for errors
-    :param listener: takes the content
-    :param meter: gets the number of bytes of each read; ``None`` counts nothing
+    :param source: name of the engine, for error messages
+    :param listener: handles the content
+    :param meter: called with the number of bytes of each read, or ``None``
     """
 
     __slots__ = (
@@ -63,12 +64,12 @@
         event_poller.set_events(sock, poller.READ, self._read)
 
     def pause(self) -> None:
-        """Leave what the engine sends in the kernel's buffers."""
+        """Stop reading, so that back-pressure slows the engine down."""
         self.is_paused = True
         self._poller.set_events(self._sock, 0, self._read)
 
     def unpause(self) -> None:
-        """Read again."""
+        """Resume reading."""
         self.is_paused = False
         self._poller.set_events(self._sock, poller.READ, self._read)
 
@@ -102,7 +103,7 @@
             return
         if events:
             self.listener.take_events(events, now_s)
-        if self.is_open and self._reader.is_whole:
+        if self.is_open and self._reader.is_complete:
             self._end("the response ended without [DONE]")
 
     def _end(self, detail: str) -> None:
--- a/src/endivevane/online/fleet.py
+++ b/src/endivevane/online/fleet.py
@@ -1,4 +1,4 @@
-"""The services and targets that a daemon's scheduler works with."""
+"""The services and targets known to a daemon's scheduler."""
 
 from __future__ import annotations
 
@@ -22,14 +22,13 @@
 
 
 class Fleet:
-    """States of model services and of their candidate targets.
+    """Holds the state of model services and their candidate targets.
 
-    A target's name is that of its VM, so services that name the same target share
-    its state.
+    A target is named after its VM, so services with the same target share its state.
 
     :param place: name, zone and region of the daemon
     :param count_daemons: returns how many daemons share the targets
-    :param link: bounds what crosses the link between the regions
+    :param link: limits the traffic on the link between the regions
     """
 
     def __init__(
@@ -50,14 +49,14 @@
         self._random = generator
         self._leaving: frozenset[str] = frozenset()
         self._count_daemons = count_daemons
-        # By service, model and whether the link has room.
+        # Cached by service, model and whether the link budget has room.
         self._tiers: dict[tuple[str, str, bool], routing.Tiers] = {}
         self.demand = demand.DemandCounter(fleet_clock)
         self.use_notices = use_notices.UseNotices(fleet_clock)
         self._link = link
 
     def set_snapshot(self, current: snapshot.Snapshot) -> None:
-        """Put a configuration into force."""
+        """Apply a configuration."""
         self.snapshot = current
         weights = {name: item.weight for name, item in current.organisations.items()}
         for service in current.services.values():
@@ -72,7 +71,7 @@
         self._refresh()
 
     def set_leaving(self, target_names: abc.Iterable[str]) -> None:
-        """Set the targets that get no new work; replaces the former set."""
+        """Set the draining targets, which get no new work; replaces the former set."""
         leaving = frozenset(target_names)
         if leaving == self._leaving:
             return
@@ -80,7 +79,7 @@
         self._refresh()
 
     def set_load(self, target_name: str, report: engine.LoadReport) -> None:
-        """Take in the load report of a target."""
+        """Apply the load report of a target."""
         state = self.targets.get(target_name)
         if state is not None and state.set_report(report):
             self._tiers.clear()
@@ -88,15 +87,15 @@
     def find_sendable(
         self, candidates: list[target_state.TargetState]
     ) -> list[target_state.TargetState]:
-        """Return the candidates with a fitting role that may be reached now."""
+        """Return the candidates with a suitable role that the link budget allows."""
         return self._list_sendable(candidates, self._link.has_room())
 
     def find_tiers(
         self, service: service_state.ServiceState, model: str
     ) -> routing.Tiers:
-        """Return the candidates for a model that may be reached now, in tiers.
+        """Return the candidates for a model that the link budget allows, in tiers.
 
-        They are kept until a report or a change of the candidates alters them.
+        The result is cached until a report or a change of the candidates affects it.
         """
         has_room = self._link.has_room()
         key = (service.service.name, model, has_room)
@@ -110,7 +109,7 @@
     def sort_tiers(
         self, model: str, states: list[target_state.TargetState]
     ) -> routing.Tiers:
-        """Group targets by how well they suit a model at this daemon's place."""
+        """Group targets by preference for a model at this daemon."""
         return routing.sort_tiers(self._place.region, model, states)
 
     def _list_sendable(
@@ -126,16 +125,16 @@
     def begin_attempt(
         self, state: target_state.TargetState, attempt: contract.Attempt
     ) -> None:
-        """Note that an attempt is sent, and charge the link if it crosses it."""
+        """Record a sent attempt and charge the link budget if it crosses the link."""
         state.begin(attempt.attempt_id)
         self.demand.begin(attempt)
-        self.use_notices.note(state)
+        self.use_notices.record_change(state)
         state.prefixes.record_send(attempt.request.prefix_hashes)
         if state.target.region != self._place.region:
             self._link.open_stream(attempt.attempt_id, attempt.request.service.name)
 
     def find_meter(self, attempt: contract.Attempt) -> abc.Callable[[int], None] | None:
-        """Return what counts an attempt's bytes, ``None`` inside the region."""
+        """Return the byte counter of an attempt, ``None`` within the region."""
         if attempt.target.region == self._place.region:
             return None
         return functools.partial(self._count_bytes, attempt.attempt_id)
@@ -145,18 +144,18 @@
     ) -> snapshot.Target | None:
         """Return the engine that should compute a long prompt for a target.
 
-        Only within the daemon's own region, because the cache passes through the
-        daemon; so nothing of it crosses the link.
+        Only engines in the daemon's own region qualify: the cache passes through the
+        daemon and must not cross the link.
         """
         hashes = request.prefix_hashes
-        least_bytes = request.service.model.roles.handover_min_prompt_bytes
-        is_long = len(hashes) * contract.PREFIX_BLOCK_BYTES >= least_bytes > 0
+        min_prompt_bytes = request.service.model.roles.handover_min_prompt_bytes
+        is_long = len(hashes) * contract.PREFIX_BLOCK_BYTES >= min_prompt_bytes > 0
         region, zone = self._place.region, chosen.target.zone
         if not is_long or chosen.target.region != region:
             return None
         if chosen.prefixes.match(hashes) * 2 >= len(hashes):
             return None
-        able = [
+        eligible = [
             (state.target.zone != zone, state.estimate_load(), state.target.name, state)
             for state in self.services[request.service.name].candidates
             if not state.can_serve()
@@ -164,30 +163,30 @@
             and state.has_model(request.model)
             and state.estimate_load() < state.target.slots
         ]
-        return min(able)[3].target if able else None
+        return min(eligible)[3].target if eligible else None
 
     def request_scans(self) -> None:
-        """Look through all queues at the next poll."""
+        """Scan all queues at the next poll."""
         for state in self.services.values():
             state.request_scan()
 
     def end_attempt(
         self, target_name: str, attempt_id: str, is_completed: bool = False
     ) -> None:
-        """Note that an attempt is over."""
+        """Record that an attempt has ended."""
         self.demand.end(attempt_id)
         self._link.close_stream(attempt_id, is_completed)
         state = self.targets.get(target_name)
         if state is not None:
             state.end(attempt_id)
-            self.use_notices.note(state)
+            self.use_notices.record_change(state)
 
     def _count_bytes(self, attempt_id: str, size_bytes: int) -> None:
         metrics.LINK_BYTES.labels("online").inc(size_bytes)
         self._link.pass_bytes(attempt_id, size_bytes)
 
     def _refresh(self) -> None:
-        """Choose the candidates of all services again and drop unused targets."""
+        """Recompute the candidates of all services and remove unused targets."""
         self._tiers.clear()
         used: set[str] = set()
         daemons = self._count_daemons()
@@ -204,7 +203,7 @@
                 chosen.append(self._get_target(target))
             state.set_candidates(chosen)
         for name in [name for name in self.targets if name not in used]:
-            # A leaving target keeps its state, because it may come back.
+            # A draining target keeps its state, because it may come back.
             if not self.targets[name].in_flight and name not in self._leaving:
                 del self.targets[name]
 
--- a/src/endivevane/online/flights.py
+++ b/src/endivevane/online/flights.py
@@ -1,4 +1,4 @@
-"""Requests that have been sent, and what may follow a failed attempt."""
+"""Requests that have been sent, with the state that their retries depend on."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from endivevane.online import contract
 from endivevane.web import errors
 
-# Bounds a stream whose connection breaks again and again after a few tokens.
+# Limits the resumes of a stream whose connection breaks after every few tokens.
 _MAX_RESUMES = 5
 _RETRY_AFTER_S = 1.0
 _RESUMABLE = frozenset((contract.AttemptFailure.BROKEN, contract.AttemptFailure.SILENT))
-_NOT_RUN = frozenset(
+_NOT_RUN_FAILURES = frozenset(
     (
         contract.AttemptFailure.CONNECT_FAILED,
         contract.AttemptFailure.REFUSED_NOT_RUN,
@@ -21,15 +21,16 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Flight:
+class SentRequest:
     """A request that has been sent at least once.
 
-    :param attempt: the attempt under way
+    :param attempt: the current attempt
     :param failed: names of targets that failed this request
     :param may_have_run: whether an attempt failed after bytes were sent
-    :param resumed_at: offset of the last resume of the attempt under way
-    :param broke: whether the connection broke, rather than went silent, before it
-    :param lost_targets: targets that died under the request or could not be reached
+    :param resumed_at: offset of the last resume of the current attempt
+    :param broke: whether that resume followed a broken connection, not a timeout
+    :param lost_targets: targets that crashed while running the request or could not
+        be reached
     """
 
     request: contract.OnlineRequest
@@ -42,18 +43,18 @@
     lost_targets: int = 0
 
     def record_failure(self, failure: contract.AttemptFailure) -> None:
-        """Keep what a failure says about the run state and the target."""
+        """Record the failed target and whether the request may have run."""
         self.failed.add(self.attempt.target.name)
-        if failure not in _NOT_RUN:
+        if failure not in _NOT_RUN_FAILURES:
             self.may_have_run = True
 
     def try_resume(
         self, failure: contract.AttemptFailure, delivered_offset: int
     ) -> bool:
-        """Return whether to resume at the same target, and note that it is done.
+        """Return whether to resume at the same target, and record the resume.
 
-        A connection may break or go silent while its target is well, so a new
-        connection is tried first; only one without progress in between.
+        A connection may break or time out while its target is healthy, so a new
+        connection is tried first, but only once without progress in between.
         """
         if failure not in _RESUMABLE or self.resumes >= _MAX_RESUMES:
             return False
@@ -64,11 +65,11 @@
         self.broke = failure is contract.AttemptFailure.BROKEN
         return True
 
-    def is_death(self, failure: contract.AttemptFailure) -> bool:
-        """Return whether a failure shows that the target's process died.
+    def is_crash(self, failure: contract.AttemptFailure) -> bool:
+        """Return whether a failure shows that the target's process crashed.
 
-        The connection broke and the stream can't be resumed. A silent connection
-        rather points at a lost VM or network, which no request causes.
+        That is so if the connection broke and the stream can't be resumed. A connection
+        that timed out points to a lost VM or network, which no request causes.
         """
         return (
             self.broke
@@ -78,14 +79,14 @@
         )
 
     def begin(self, attempt: contract.Attempt) -> None:
-        """Note that a further attempt is sent."""
+        """Record that a further attempt is sent."""
         self.attempt = attempt
         self.resumed_at = None
         self.resumes = 0
         self.broke = False
 
     def make_refusal(self, reason: str) -> contract.Refuse:
-        """Return the final answer after failed attempts.
+        """Return the final error after failed attempts.
 
         :param reason: why there is no further attempt
         """
@@ -100,8 +101,8 @@
             error = errors.Unavailable(message, retry_after_s=_RETRY_AFTER_S)
         return contract.Refuse(self.request, error)
 
-    def make_late_refusal(self) -> contract.Refuse:
-        """Return the final answer when the deadline has passed."""
+    def make_deadline_refusal(self) -> contract.Refuse:
+        """Return the final error when the deadline has passed."""
         error = errors.DeadlineExceeded(
             "the deadline passed before the answer was complete",
             run_state=self._run_state(),
@@ -110,7 +111,7 @@
         return contract.Refuse(self.request, error)
 
     def make_quarantine_refusal(self, remaining_s: float) -> contract.Refuse:
-        """Return the final answer when the request's fingerprint is quarantined."""
+        """Return the final error when the request's fingerprint is quarantined."""
         error = errors.Quarantined(
             "this request has crashed targets; change it before sending it again",
             run_state=self._run_state(),
--- a/src/endivevane/online/forward.py
+++ b/src/endivevane/online/forward.py
@@ -21,11 +21,11 @@
 
 
 class AttemptError(exceptions.EndivevaneError):
-    """One try of a call failed.
+    """An attempt of a call failed.
 
     :param is_not_run: whether the target provably did not run the call
-    :param answer: what the target said, if it answered
-    :param detail: what happened
+    :param answer: response of the target, if any
+    :param detail: description of the failure
     """
 
     def __init__(
@@ -46,18 +46,18 @@
         return contract.AttemptFailure.BROKEN
 
     def format_message(self) -> str:
-        """Return what happened."""
+        """Return the description of the failure."""
         return self.detail
 
 
 @dataclasses.dataclass(slots=True)
 class _PlainCall:
-    """A call to a plain service while it is served.
+    """A call to a plain service and its state.
 
-    :param path: path and query as they go to the target
-    :param headers: headers that go to the target
-    :param attempts: how often it was sent
-    :param failed: names of targets that failed it
+    :param path: path and query as sent to the target
+    :param headers: headers sent to the target
+    :param attempts: number of attempts so far
+    :param failed: names of targets that failed this call
     """
 
     call: app.Call
@@ -77,7 +77,7 @@
         return self.call.request.method
 
     def digest(self) -> str:
-        """Return the digest that tells calls with the same key apart."""
+        """Return the digest that detects reuse of a key for another call."""
         content = hashlib.sha256(self.body).hexdigest()
         return utils.digest_text(self.service.name, self.method, self.path, content)
 
@@ -87,8 +87,8 @@
 
     :param targets: choice, health and connections of targets
     :param call_register: keys of calls that run at most once
-    :param keeper: stores and returns their outcomes
-    :param max_body_bytes: largest body of a call
+    :param keeper: stores and restores their outcomes
+    :param max_body_bytes: maximum body size of a call
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         max_body_bytes: int,
     ) -> None:
         self._targets = targets
-        self._gate = at_most_once.ClaimGate(call_register)
+        self._claim_limiter = at_most_once.ClaimLimiter(call_register)
         self._keeper = keeper
         self._clock = forward_clock
         self._max_body_bytes = max_body_bytes
@@ -152,7 +152,7 @@
         )
 
     def _call_idempotent(self, plain: _PlainCall) -> at_most_once.Answer:
-        """Send a call, and again after a failure as far as the budget allows."""
+        """Send a call, with retries as far as the retry budget allows."""
         self._targets.record_request(plain.service.name)
         while True:
             outcome = self._send(plain, is_repeatable=True)
@@ -177,7 +177,7 @@
         claim_until_s = min(
             plain.deadline_s, self._clock.monotonic_s() + plain.route.timeout_s
         )
-        claimed = self._gate.claim(
+        claimed = self._claim_limiter.claim(
             plain.call.organisation,
             key,
             plain.digest(),
@@ -186,23 +186,23 @@
         )
         if isinstance(claimed, result.Err):
             raise _make_store_error(claimed.err_value)
-        sight = claimed.ok_value
-        if isinstance(sight, register.KeyReused):
+        claim_result = claimed.ok_value
+        if isinstance(claim_result, register.KeyReused):
             raise at_most_once.KeyReused(
                 "the Idempotency-Key was used for another call; use a new key"
             )
-        if isinstance(sight, register.MayHaveRun):
+        if isinstance(claim_result, register.MayHaveRun):
             raise errors.Conflict(
                 "a call with this Idempotency-Key was accepted before and its outcome "
                 "is not known; it is not sent again",
                 run_state=types.RunState.MAY_HAVE_RUN,
                 retry_after_s=_RETRY_AFTER_S,
             )
-        if isinstance(sight, register.Expired):
-            raise at_most_once.make_expired_error(sight)
-        if isinstance(sight, register.Finished):
-            return self._replay(sight)
-        return _make_response(self._send_claimed(plain, sight))
+        if isinstance(claim_result, register.Expired):
+            raise at_most_once.make_expired_error(claim_result)
+        if isinstance(claim_result, register.Finished):
+            return self._replay(claim_result)
+        return _make_response(self._send_claimed(plain, claim_result))
 
     def _replay(self, finished: register.Finished) -> werkzeug.wrappers.Response:
         restored = self._keeper.restore(finished.outcome)
@@ -220,7 +220,7 @@
     def _send_claimed(
         self, plain: _PlainCall, claim: register.Claim
     ) -> at_most_once.Answer:
-        """Send a claimed call; again only while it provably did not run."""
+        """Send a claimed call; retry only while it provably did not run."""
         self._targets.record_request(plain.service.name)
         while True:
             outcome = self._send(plain, is_repeatable=False)
@@ -240,7 +240,7 @@
     def _send(
         self, plain: _PlainCall, is_repeatable: bool
     ) -> result.Result[at_most_once.Answer, AttemptError]:
-        """Send a call once to a chosen target."""
+        """Send one attempt of a call to a chosen target."""
         if self._clock.monotonic_s() >= plain.deadline_s:
             return result.Err(AttemptError(True, None, "the call was not sent in time"))
         plain.attempts += 1
@@ -267,7 +267,7 @@
         self, plain: _PlainCall, target: snapshot.Target, is_repeatable: bool
     ) -> result.Result[at_most_once.Answer, AttemptError]:
         remaining_s = max(0.01, plain.deadline_s - self._clock.monotonic_s())
-        # The pool may send a repeatable call a second time on a new connection.
+        # The pool may retry a repeatable call once on a new connection.
         limit_s = remaining_s / 2 if is_repeatable else remaining_s
         headers = {**plain.headers, "x-deadline-ms": str(int(remaining_s * 1000))}
         outcome = self._targets.get_pool(target).request(
@@ -280,7 +280,7 @@
         )
         if isinstance(outcome, result.Err):
             error = outcome.err_value
-            # A repeatable call may have failed on a reused connection before that.
+            # A repeatable call may have been sent on a reused connection before that.
             is_not_run = not is_repeatable and error.stage is http_pool.Stage.CONNECT
             return result.Err(AttemptError(is_not_run, None, error.format_message()))
         response = outcome.ok_value
@@ -296,7 +296,7 @@
         return result.Err(AttemptError(is_not_run, answer, "the target answered 503"))
 
     def _deny_retry(self, plain: _PlainCall) -> str | None:
-        """Return why a failed call is not sent again, ``None`` when it is."""
+        """Return why a failed call is not retried, ``None`` if it is."""
         if self._clock.monotonic_s() >= plain.deadline_s:
             reason, text = "deadline", "its deadline has passed"
         elif plain.attempts >= plain.service.model.online.max_attempts:
@@ -313,7 +313,7 @@
     def _make_error(
         self, plain: _PlainCall, failure: AttemptError, denied: str
     ) -> errors.ApiError:
-        """Return the final answer of a call that got none from a target."""
+        """Return the final error of a call without a response from a target."""
         message = f"{failure.format_message()}; {denied}"
         kind: type[errors.ApiError] = errors.Unavailable
         run_state = types.RunState.NOT_RUN
@@ -331,12 +331,12 @@
 
     A prefix ends at a slash: ``/tickets`` covers ``/tickets/7`` but not ``/ticketsx``.
 
-    :raises errors.NotFound: when no route covers the path
-    :raises errors.MethodNotAllowed: when none of them allows the method
+    :raises errors.NotFound: if no route covers the path
+    :raises errors.MethodNotAllowed: if no covering route allows the method
     """
     parts = path.split("/")[1:]
     if any(part in (".", "..") for part in parts) or "" in parts[:-1]:
-        # The target might resolve such a path to one of another route.
+        # The target might normalise such a path to one of another route.
         raise errors.InvalidRequest(
             "the path must not contain empty, '.' or '..' segments"
         )
@@ -364,7 +364,7 @@
 
 
 def _make_store_error(error: store.StoreError) -> errors.ApiError:
-    """Return the refusal of a call whose key could not be claimed."""
+    """Return the error for a call whose key could not be claimed."""
     retry_after_s = _RETRY_AFTER_S
     if isinstance(error, store.StoreOverloaded):
         retry_after_s = error.retry_after_s
@@ -377,7 +377,7 @@
 def _correct_run_state(
     answer: at_most_once.Answer, may_have_run: bool
 ) -> at_most_once.Answer:
-    """Return a target's refusal with the run state of all attempts."""
+    """Return a target's refusal with the combined run state of all attempts."""
     if not may_have_run:
         return answer
     headers = {**answer.headers, "x-run-state": types.RunState.MAY_HAVE_RUN.value}
--- a/src/endivevane/online/front.py
+++ b/src/endivevane/online/front.py
@@ -1,4 +1,4 @@
-"""Routes of online model requests: parse, validate and hand over to the relay."""
+"""HTTP routes of online model requests, which are passed to the relay."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from endivevane.web import app, errors, request_headers, server
 
 
-class Front:
+class OnlineHandlers:
     """Handlers of the online routes.
 
-    :param relay_task: takes over the requests and their callers
+    :param relay_task: serves the requests and owns the connections of their callers
     """
 
     def __init__(self, relay_task: relay.RelayTask, front_clock: clock.Clock) -> None:
@@ -24,7 +24,7 @@
         self._clock = front_clock
 
     def complete(self, call: app.Call) -> werkzeug.wrappers.Response:
-        """Hand a chat completion over to the relay."""
+        """Pass a chat completion and its connection to the relay."""
         received_s = self._clock.monotonic_s()
         request = self._make_request(call, received_s)
         if self._relay.is_draining:
@@ -79,12 +79,12 @@
 def routes(
     relay_task: relay.RelayTask, front_clock: clock.Clock | None = None
 ) -> list[app.Route]:
-    """Return the routes of the online part."""
-    front = Front(relay_task, front_clock or clock.SystemClock())
+    """Return the routes of online model requests."""
+    handlers = OnlineHandlers(relay_task, front_clock or clock.SystemClock())
     return [
-        app.Route("POST", "/v1/chat/completions", front.complete),
-        app.Route("GET", "/v1/models", front.list_models),
-        app.Route("GET", "/v1/models/<path:model>", front.show_model),
+        app.Route("POST", "/v1/chat/completions", handlers.complete),
+        app.Route("GET", "/v1/models", handlers.list_models),
+        app.Route("GET", "/v1/models/<path:model>", handlers.show_model),
     ]
 
 
@@ -94,7 +94,7 @@
     """Return the service that offers a model to an organisation.
 
     :param model: name, or ``name:adapter``
-    :raises errors.ModelNotFound: when there is none
+    :raises errors.ModelNotFound: if there is none
     """
     service = current.find_service(organisation, model)
     if service is not None:
@@ -109,7 +109,7 @@
 def find_models(
     current: snapshot.Snapshot, organisation: str
 ) -> list[dict[str, typing.Any]]:
-    """Return what an organisation may name as a model, in the OpenAI format."""
+    """Return the models and adapters of an organisation, in the OpenAI format."""
     models = []
     for service in current.services.values():
         if organisation not in service.model.organisations:
@@ -128,7 +128,7 @@
 ) -> types.Priority:
     """Return the priority from ``X-Priority`` or the service.
 
-    :raises errors.InvalidRequest: when the header names no priority
+    :raises errors.InvalidRequest: if the header is not a valid priority
     """
     text = request.headers.get("X-Priority", service.model.online.priority)
     names = [item.name.lower() for item in types.Priority]
--- a/src/endivevane/online/handover.py
+++ b/src/endivevane/online/handover.py
@@ -1,4 +1,4 @@
-"""Lets one engine compute a prompt and hands its KV cache over to another one."""
+"""Disaggregated prefill: transfer of a prompt's KV cache between engines."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandoverSettings:
-    """Limits of a hand-over.
+    """Limits of a handover.
 
-    :param threads: hand-overs at the same time; further requests do without one
-    :param limit_s: time after which no further step begins, and limit for each wait
-    :param deadline_share: share of the time to the deadline that bounds both as well
-    :param avoid_s: how long an engine that failed a step is left out
+    :param threads: maximum concurrent handovers; further requests skip theirs
+    :param limit_s: time after which no further step begins, and timeout of each step
+    :param deadline_share: share of the time to the deadline that caps ``limit_s``
+    :param avoid_s: how long an engine is not used after it failed a handover
     """
 
     threads: int = 8
@@ -35,12 +35,12 @@
 
 
 class Handover:
-    """Runs hand-overs on threads of their own.
+    """Runs handovers on separate threads.
 
-    Whatever happens, the attempt goes on at its target, which computes what it did not
-    get itself.
+    The attempt continues at its target even if the handover fails; the target then
+    computes the missing part of the prompt itself.
 
-    :param post: takes the outcomes, thread-safe
+    :param post: receives the outcomes; thread-safe
     """
 
     def __init__(
@@ -48,14 +48,14 @@
     ) -> None:
         self._settings = settings
         self._post = post
-        self._places = threading.Semaphore(settings.threads)
+        self._slots = threading.Semaphore(settings.threads)
         self._executor = concurrent.futures.ThreadPoolExecutor(
             settings.threads, thread_name_prefix="engine-handover"
         )
         self._avoided_until_s: dict[types.Address, float] = {}
 
-    def start(self, ticket: int, attempt: contract.Attempt, body: bytes) -> bool:
-        """Start the hand-over of an attempt; return ``False`` to do without.
+    def start(self, call_number: int, attempt: contract.Attempt, body: bytes) -> bool:
+        """Start the handover of an attempt; return ``False`` if it is skipped.
 
         :param body: the body for the attempt's target
         """
@@ -64,27 +64,31 @@
             return False
         if time.monotonic() < self._avoided_until_s.get(source.address, 0.0):
             return False
-        if not self._places.acquire(blocking=False):
+        if not self._slots.acquire(blocking=False):
             metrics.HANDOVERS.labels("no_place").inc()
             return False
-        self._executor.submit(self._run, ticket, attempt, source.address, body)
+        self._executor.submit(self._run, call_number, attempt, source.address, body)
         return True
 
     def stop(self) -> None:
-        """End the threads after the steps that have begun."""
+        """Stop the threads after the running handovers."""
         self._executor.shutdown(wait=True, cancel_futures=True)
 
     def _run(
-        self, ticket: int, attempt: contract.Attempt, source: types.Address, body: bytes
+        self,
+        call_number: int,
+        attempt: contract.Attempt,
+        source: types.Address,
+        body: bytes,
     ) -> None:
-        has_died = False
+        has_crashed = False
         try:
             problem = self._copy(attempt, source, body)
             if problem is not None:
                 self._avoided_until_s[source] = (
                     time.monotonic() + self._settings.avoid_s
                 )
-                has_died = problem.has_died
+                has_crashed = problem.has_crashed
                 logs.info(
                     "handover_failed",
                     attempt_id=attempt.attempt_id,
@@ -95,20 +99,20 @@
         except Exception as error:
             logs.error("handover_broke", attempt_id=attempt.attempt_id, error=error)
         finally:
-            self._places.release()
-            self._post(messages.PromptReady(attempt, ticket, body, has_died))
+            self._slots.release()
+            self._post(messages.PromptReady(attempt, call_number, body, has_crashed))
 
     def _copy(
         self, attempt: contract.Attempt, source: types.Address, body: bytes
     ) -> _Problem | None:
-        """Run the prompt at the source, then copy its cache block by block."""
+        """Compute the prompt at the source, then copy its KV cache block by block."""
         started_s = time.monotonic()
-        left_s = (
+        remaining_s = (
             attempt.request.deadline_s - started_s
         ) * self._settings.deadline_share
-        limit_s = min(self._settings.limit_s, left_s)
+        limit_s = min(self._settings.limit_s, remaining_s)
         if limit_s <= 0:
-            return _Problem("deadline", "no time is left")
+            return _Problem("deadline", "no time left")
         limits = http_pool.PoolSettings(
             connect_timeout_s=min(self._settings.connect_timeout_s, limit_s),
             read_timeout_s=limit_s,
@@ -129,26 +133,28 @@
             if problem is not None:
                 return problem
             if time.monotonic() - started_s > limit_s:
-                return _Problem("too_late", f"more than {limit_s:.2f} s")
-            asked = utils.encode_json({"prefix_hash": prefix_hash})
-            block = exporter.request("POST", "/v1/kv/export", asked)
+                return _Problem("too_late", f"not finished within {limit_s:.2f} s")
+            export_body = utils.encode_json({"prefix_hash": prefix_hash})
+            block = exporter.request("POST", "/v1/kv/export", export_body)
             problem = _find_problem("export", block)
             if isinstance(block, result.Ok) and problem is None:
-                taken = importer.request("POST", "/v1/kv/import", block.ok_value.body)
-                problem = _find_problem("import", taken)
+                imported = importer.request(
+                    "POST", "/v1/kv/import", block.ok_value.body
+                )
+                problem = _find_problem("import", imported)
         return problem
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Problem:
-    """Why a hand-over ended early.
+    """Why a handover ended early.
 
-    :param has_died: whether the connection to the engine broke while it ran the prompt
+    :param has_crashed: whether the connection broke while the engine ran the prompt
     """
 
     step: str
     detail: str
-    has_died: bool = False
+    has_crashed: bool = False
 
 
 def _find_problem(
@@ -164,7 +170,7 @@
 
 
 def _make_prefill_body(body: bytes) -> bytes:
-    """Return the body that makes an engine compute the prompt and one token."""
+    """Return the request body for prefill: the prompt and one output token."""
     fields = utils.decode_json(body)
     for name in ("max_completion_tokens", "stream_options"):
         fields.pop(name, None)
--- a/src/endivevane/online/link_budget.py
+++ b/src/endivevane/online/link_budget.py
@@ -1,4 +1,4 @@
-"""What this daemon's requests may send over the link between the regions."""
+"""This daemon's budget of bytes on the link between the regions."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 from endivevane.coordination import clock
 
-# Part of a daemon's share that batch may use.
+# Fraction of a daemon's share that batch may use.
 _BULK_SHARE = 0.5
-# Lets a short burst cross the link at once.
+# Bucket size, in seconds of the rate; allows a short burst.
 _BURST_S = 2.0
-# Assumed for a service without a completed stream: 300 tokens of about 200 bytes.
+# Assumed size while a service has no completed stream: 300 tokens of about 200 bytes.
 _FIRST_STREAM_BYTES = 60_000.0
-# Weight of the latest stream in the mean; the last 20 streams make up 88% of it.
+# Weight of the latest stream in the moving average; the last 20 make up 88% of it.
 _LATEST_WEIGHT = 0.1
 _MEASURE_S = 1.0
-# A use that grows by less than this in a second is never short of its share.
+# The need exceeds the measured use by this factor, so that use may grow by half
+# within a second without exceeding the share.
 _HEADROOM = 1.5
-# A need falls at most by this factor a second, as streams begin at irregular times.
+# The need falls at most by this factor a second, as streams start irregularly.
 _NEED_DECAY = 0.7
 
 
@@ -27,7 +28,7 @@
 class _OpenStream:
     """A stream that crosses the link.
 
-    :param reserved_bytes: what was charged when it was admitted
+    :param reserved_bytes: bytes charged when it was admitted
     """
 
     service: str
@@ -36,15 +37,15 @@
 
 
 class LinkBudget:
-    """A token bucket of bytes, both directions together. Thread-safe.
+    """A token bucket of bytes in both directions. Thread-safe.
 
-    A stream is charged the mean of its service's streams when it is admitted, because
-    the size of an answer is not known then. Bytes beyond that are charged as they
-    pass, and what was charged too much is given back at the end.
+    A stream is charged the mean size of its service's streams when it is admitted,
+    because its own size is not known then. Bytes beyond that are charged as they pass,
+    and unused bytes are refunded at the end.
 
-    :param compute_share: returns this daemon's part of a rate that all daemons share
-    :param compute_even_share: returns the part if all had the same, which bounds the
-        burst where the share is smaller; ``None`` bounds it by the share
+    :param compute_share: returns this daemon's share of a rate
+    :param compute_even_share: returns the share if it were equal for all daemons; the
+        burst is sized by the larger of the two; ``None`` uses ``compute_share``
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self._compute_share = compute_share
         self._compute_even_share = compute_even_share or compute_share
         self._used_bytes = 0.0
-        self._is_short = False
+        self._is_limited = False
         self._need_bytes_s = 0.0
         self._measured_s = budget_clock.monotonic_s()
         self._lock = threading.Lock()
@@ -68,7 +69,7 @@
         self._mean_bytes: dict[str, float] = {}
 
     def set_rate(self, data_bytes_s: float) -> None:
-        """Set what all daemons together may use; after a change the bucket is full."""
+        """Set the total rate of all daemons; a change refills the bucket."""
         with self._lock:
             if data_bytes_s == self._data_bytes_s:
                 return
@@ -76,33 +77,33 @@
             self._tokens_bytes = self._compute_even_share(data_bytes_s) * _BURST_S
 
     def compute_bulk_rate(self) -> float:
-        """Return the rate at which batch may take bytes, half of this daemon's share.
+        """Return the rate limit of batch, half of this daemon's share.
 
-        Online requests get what batch leaves, so at least the other half.
+        Online requests may use what batch leaves, at least the other half.
         """
         return self._compute_share(self._data_bytes_s) * _BULK_SHARE
 
     def measure_need(self) -> tuple[float, float]:
-        """Return what this daemon uses or asks for, and the rate that all share."""
+        """Return the rate that this daemon needs, and the total rate."""
         with self._lock:
             now_s = self._clock.monotonic_s()
             passed_s = now_s - self._measured_s
             if passed_s < _MEASURE_S:
                 return self._need_bytes_s, self._data_bytes_s
             needed = max(0.0, self._used_bytes) / passed_s * _HEADROOM
-            if self._is_short:
+            if self._is_limited:
                 needed = self._data_bytes_s
             floor = _NEED_DECAY * self._need_bytes_s
             self._need_bytes_s = max(needed, floor if floor > 1.0 else 0.0)
             self._used_bytes = 0.0
-            self._is_short = False
+            self._is_limited = False
             self._measured_s = now_s
             return self._need_bytes_s, self._data_bytes_s
 
     def note_short(self) -> None:
-        """Note that batch waits for its share."""
+        """Record that batch is limited by its share."""
         with self._lock:
-            self._is_short = True
+            self._is_limited = True
 
     def has_room(self) -> bool:
         """Return whether another request may cross the link."""
@@ -115,11 +116,11 @@
             limit = max(rate_bytes_s, even_bytes_s) * _BURST_S
             self._tokens_bytes = min(limit, self._tokens_bytes + gained)
             if self._tokens_bytes <= 0:
-                self._is_short = True
+                self._is_limited = True
             return self._tokens_bytes > 0
 
     def charge(self, size_bytes: float) -> None:
-        """Take bytes that have passed; the bucket may go below zero."""
+        """Charge transferred bytes; the bucket may go below zero."""
         with self._lock:
             self._take(size_bytes)
 
@@ -131,7 +132,7 @@
             self._take(expected)
 
     def pass_bytes(self, attempt_id: str, size_bytes: int) -> None:
-        """Note bytes of a stream; those beyond the expected ones are charged."""
+        """Count bytes of a stream and charge those beyond the reserved ones."""
         with self._lock:
             stream = self._streams.get(attempt_id)
             if stream is None:
@@ -142,10 +143,10 @@
             self._take(max(0.0, stream.passed_bytes - before))
 
     def close_stream(self, attempt_id: str, is_completed: bool) -> None:
-        """Give back what was charged too much; unknown streams are ignored.
+        """Refund unused bytes; ignore unknown streams.
 
-        :param is_completed: whether the stream's size is typical of its service; a
-            failing target would teach sizes that are too small
+        :param is_completed: whether the stream counts towards the mean size; failed
+            streams would make the mean too small
         """
         with self._lock:
             stream = self._streams.pop(attempt_id, None)
--- a/src/endivevane/online/loads.py
+++ b/src/endivevane/online/loads.py
@@ -1,4 +1,4 @@
-"""Polls load reports and cache events of the engines that this daemon sends to."""
+"""Polling of load reports and cache events from targets."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from endivevane.external import engine, http_pool, link
 from endivevane.online import messages, routing
 
-# Shortest wait between two looks at what is due.
-_BUSY_WAIT_S = 0.05
-# The further targets follow the members, for which there is no event here.
+# Minimum wait between two checks for due polls.
+_MIN_WAIT_S = 0.05
+# The further targets depend on the membership, whose changes raise no event here.
 _FURTHER_INTERVAL_S = 2.0
 
 
@@ -28,13 +28,14 @@
     """Rate and limits of the polls.
 
     :param interval_s: time between two reports of one target
-    :param events_every: cache events are fetched with every so many reports
-    :param max_targets_per_s: bound on the rate for candidates in a deployment of up
-        to 9 daemons; with more candidates each is polled less often
-    :param min_targets_per_s: the bound falls with the number of daemons down to this,
-        since control may cost a daemon 3 KB/s and a report is about 650 bytes
-    :param threads: calls under way at a time
-    :param timeout_s: limit for each call
+    :param events_every: number of reports per fetch of cache events
+    :param max_targets_per_s: maximum poll rate for candidates in a deployment of up to
+        9 daemons; with more candidates each is polled less often
+    :param min_targets_per_s: lower limit of that maximum, which falls as the number of
+        daemons grows: control traffic may use 3 KB/s per daemon, and a report is about
+        650 bytes
+    :param threads: maximum concurrent calls
+    :param timeout_s: timeout of each call
     """
 
     interval_s: float = 1.0
@@ -46,10 +47,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Polled:
-    """A target and its connection.
+class _PolledTarget:
+    """A polled target and its connection.
 
-    :param is_candidate: whether online requests may go there; the cache events of
+    :param is_candidate: whether online requests may be sent to it; cache events of
         other targets are not fetched, since only routing uses them
     """
 
@@ -64,14 +65,14 @@
 
 
 class LoadsTask:
-    """A thread that polls and posts what the targets report.
+    """Polls targets on a thread and posts their reports.
 
     :param place: name, zone and region of the daemon
-    :param get_snapshot: returns the configuration in force
-    :param post: takes :class:`messages.LoadReported` and
+    :param get_snapshot: returns the current configuration
+    :param post: receives :class:`messages.LoadReported` and
         :class:`messages.CacheEventsReported`; called on several threads
     :param get_further_targets: targets to poll besides the candidates, such as those
-        that this daemon sends batch items to
+        to which this daemon sends batch items
     :param count_daemons: returns how many daemons share the targets
     """
 
@@ -97,7 +98,7 @@
         self._post = post
         self._routing = routing_settings or routing.RoutingSettings()
         self._leaving: frozenset[str] = frozenset()
-        self._polled: dict[str, _Polled] = {}
+        self._polled: dict[str, _PolledTarget] = {}
         self._seen: tuple[snapshot.Snapshot, frozenset[str]] | None = None
         self._stopped = threading.Event()
         self._executor = concurrent.futures.ThreadPoolExecutor(
@@ -110,7 +111,7 @@
         self._thread.start()
 
     def drain(self, deadline_s: float) -> None:
-        """Do nothing: requests in flight still need the reports."""
+        """Do nothing, since requests in flight still need the reports."""
 
     def stop(self) -> None:
         """Stop polling and close the connections."""
@@ -122,7 +123,7 @@
             polled.pool.close_idle()
 
     def set_leaving(self, target_names: abc.Iterable[str]) -> None:
-        """Set the targets that get no new work; replaces the former set."""
+        """Set the draining targets, which get no new work; replaces the former set."""
         self._leaving = frozenset(target_names)
 
     def _run(self) -> None:
@@ -131,7 +132,7 @@
             self._stopped.wait(self._poll_due())
 
     def _refresh(self) -> None:
-        """Follow changes of the configuration and of the leaving targets."""
+        """Apply changes of the configuration and of the draining targets."""
         seen = (self._get_snapshot(), self._leaving)
         now_s = self._clock.monotonic_s()
         is_due = now_s - self._refreshed_s >= _FURTHER_INTERVAL_S
@@ -159,7 +160,7 @@
             self._polled[name].is_further = name in further
             self._polled[name].is_candidate = name in candidates
 
-    def _make_polled(self, target: snapshot.Target) -> _Polled:
+    def _make_polled(self, target: snapshot.Target) -> _PolledTarget:
         limits = http_pool.PoolSettings(
             connect_timeout_s=self._settings.timeout_s,
             read_timeout_s=self._settings.timeout_s,
@@ -168,28 +169,30 @@
         pool = http_pool.HttpPool(target.address, limits, self._clock)
         if target.region != self._place.region:
             pool = link.LinkPool(target.address, limits, "control")
-        return _Polled(target, pool, self._clock.monotonic_s())
+        return _PolledTarget(target, pool, self._clock.monotonic_s())
 
     def _poll_due(self) -> float:
-        """Start the calls that are due; return the time until the next one."""
+        """Start the due polls and return the time until the next one."""
         settings = self._settings
         now_s = self._clock.monotonic_s()
-        slowed_s = self._compute_interval_s()
+        candidate_interval_s = self._compute_interval_s()
         for polled in self._polled.values():
             if polled.is_busy or polled.due_s > now_s:
                 continue
             polled.is_busy = True
-            interval_s = settings.interval_s if polled.is_further else slowed_s
-            # The spread keeps the polls of all targets from coming in one burst.
+            interval_s = (
+                settings.interval_s if polled.is_further else candidate_interval_s
+            )
+            # Jitter keeps the polls of all targets from coinciding.
             polled.due_s = now_s + interval_s * random.uniform(0.9, 1.1)
             self._executor.submit(self._poll, polled)
         idle = [item.due_s for item in self._polled.values() if not item.is_busy]
-        # The end of a call wakes nobody, so its target may be due at any moment.
-        next_s = min(idle, default=now_s + _BUSY_WAIT_S)
-        return min(max(next_s - now_s, _BUSY_WAIT_S), settings.interval_s)
+        # The end of a call does not wake this thread, so the wait has an upper limit.
+        next_s = min(idle, default=now_s + _MIN_WAIT_S)
+        return min(max(next_s - now_s, _MIN_WAIT_S), settings.interval_s)
 
     def _compute_interval_s(self) -> float:
-        """Return the time between two reports of a candidate."""
+        """Return the poll interval of a candidate."""
         settings = self._settings
         known = routing.DEFAULT_DAEMONS
         share = known / max(known, self._count_daemons())
@@ -197,22 +200,22 @@
         count = sum(not item.is_further for item in self._polled.values())
         return max(settings.interval_s, count / rate)
 
-    def _poll(self, polled: _Polled) -> None:
+    def _poll(self, polled: _PolledTarget) -> None:
         try:
             self._fetch(polled)
         except Exception as error:
-            # One malformed answer must not end the polls of this target.
+            # A malformed response must not end the polling of this target.
             logs.warning("poll_failed", target=polled.target.name, error=repr(error))
         finally:
             polled.is_busy = False
 
-    def _fetch(self, polled: _Polled) -> None:
+    def _fetch(self, polled: _PolledTarget) -> None:
         client = engine.EngineClient(polled.pool)
         name = polled.target.name
         report = client.fetch_load()
         if isinstance(report, result.Err):
             logs.info("load_missing", target=name, error=str(report.err_value))
-            # The target may come back with a new cache and new event numbers.
+            # A restarted target has an empty cache and new event numbers.
             polled.last_event = 0
             return
         self._post(messages.LoadReported(name, report.ok_value))
--- a/src/endivevane/online/messages.py
+++ b/src/endivevane/online/messages.py
@@ -1,4 +1,4 @@
-"""Messages that other tasks post to the relay."""
+"""Messages that other threads post to the relay."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SnapshotChanged:
-    """A new configuration is in force."""
+    """The configuration has changed."""
 
     snapshot: snapshot.Snapshot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetsLeaving:
-    """The targets that must get no new work; replaces the earlier set."""
+    """The set of draining targets has changed; replaces the earlier set."""
 
     names: frozenset[str]
 
@@ -54,10 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineChanged:
-    """A daemon has quarantined a fingerprint or seen it kill a target.
+    """A daemon has quarantined a fingerprint or seen it crash a target.
 
-    :param until_wall_ms: end of the quarantine; the negative time of a single death
-    :param target_name: target that died, empty when it is not known
+    :param until_wall_ms: end of the quarantine, or the negated time of a single crash
+    :param target_name: target that crashed, empty if unknown
     """
 
     fingerprint: str
@@ -69,11 +69,11 @@
 class Opened:
     """A connection to an engine is open and the call has been sent on it.
 
-    :param ticket: number of the call, to recognise one that is no longer wanted
+    :param call_number: number of the call, to recognise outdated messages
     """
 
     attempt: contract.Attempt
-    ticket: int
+    call_number: int
     sock: socket.socket
 
 
@@ -85,27 +85,27 @@
     """
 
     attempt: contract.Attempt
-    ticket: int
+    call_number: int
     was_sent: bool
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PromptReady:
-    """A hand-over is over, and the attempt may go to its target.
+    """A handover has ended, and the attempt may be sent to its target.
 
-    :param has_died: whether the engine that computed the prompt died of it
+    :param has_crashed: whether the engine crashed while it computed the prompt
     """
 
     attempt: contract.Attempt
-    ticket: int
+    call_number: int
     body: bytes
-    has_died: bool
+    has_crashed: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelMissed:
-    """An engine does not know an attempt yet that is to be cancelled."""
+    """An engine did not know an attempt that was to be cancelled."""
 
     address: types.Address
     attempt_id: str
@@ -114,9 +114,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """Take no new requests."""
+    """Refuse new requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stop:
-    """Break what is open and end the thread."""
+    """Break off open streams and stop the thread."""
--- a/src/endivevane/online/plain_targets.py
+++ b/src/endivevane/online/plain_targets.py
@@ -13,12 +13,12 @@
 
 
 class PlainTargets:
-    """Chooses targets, keeps their connections, health and limits. Thread-safe.
+    """Chooses targets and keeps their connections, health and limits. Thread-safe.
 
     :param count_daemons: returns how many daemons share the targets; called under the
-        lock when the configuration or the set of leaving targets changes
-    :param budget: bounds what crosses the link between the regions; ``None`` for no
-        bound
+        lock when the configuration or the set of draining targets changes
+    :param budget: limits the traffic on the link between the regions, ``None`` for no
+        limit
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._lock = threading.Lock()
 
     def set_leaving(self, target_names: abc.Iterable[str]) -> None:
-        """Set the targets that get no new work; replaces the former set."""
+        """Set the draining targets, which get no new work; replaces the former set."""
         with self._lock:
             self._leaving = frozenset(target_names)
             self._candidates.clear()
@@ -55,14 +55,14 @@
             self._get_budget(service).record_request()
 
     def try_retry(self, service: str) -> bool:
-        """Take a retry from the service's budget; return whether there was one."""
+        """Return whether the service's retry budget allows a retry, and use it."""
         with self._lock:
             return self._get_budget(service).try_retry()
 
     def has_target(
         self, service: snapshot.Service, excluded: abc.Collection[str] = ()
     ) -> bool:
-        """Return whether a call could be sent now.
+        """Return whether a usable target exists for a call.
 
         :param excluded: names of targets that failed this call
         """
@@ -72,7 +72,7 @@
     def begin(
         self, service: snapshot.Service, attempt_id: str, excluded: abc.Collection[str]
     ) -> snapshot.Target | None:
-        """Choose a target and note that a call is sent to it.
+        """Choose a target and record that a call is sent to it.
 
         :param excluded: names of targets that failed this call
         """
@@ -96,9 +96,10 @@
         started_s: float,
         is_answered: bool | None,
     ) -> None:
-        """Note how a call ended.
+        """Record how a call ended.
 
-        :param is_answered: ``None`` when the end says nothing about the target
+        :param is_answered: whether the target answered; ``None`` if the outcome says
+            nothing about the target
         """
         now_s = self._clock.monotonic_s()
         with self._lock:
@@ -114,7 +115,7 @@
             state.end(attempt_id)
 
     def get_pool(self, target: snapshot.Target) -> http_pool.HttpPool:
-        """Return the connections to a target."""
+        """Return the connection pool of a target."""
         key = str(target.address)
         with self._lock:
             pool = self._pools.get(key)
--- a/src/endivevane/online/poller.py
+++ b/src/endivevane/online/poller.py
@@ -11,22 +11,19 @@
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
 
-# Gets the events and the monotonic time of the round.
+# Called with the events and the monotonic time of the round.
 Callback = abc.Callable[[int, float], None]
 
 
 class Poller:
-    """Calls a function when a socket is ready.
-
-    One thread uses it.
-    """
+    """Selector whose keys hold the callback of each socket. Not thread-safe."""
 
     def __init__(self) -> None:
         self._selector = selectors.DefaultSelector()
         self._watched: set[int] = set()
 
     def set_events(self, sock: socket.socket, events: int, callback: Callback) -> None:
-        """Watch a socket, replacing what was watched; no events ends the watch."""
+        """Set the events to watch on a socket; no events stop watching it."""
         descriptor = sock.fileno()
         if descriptor in self._watched:
             if events:
@@ -39,10 +36,10 @@
             self._watched.add(descriptor)
 
     def wait(self, timeout_s: float | None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for events and return the keys, whose data is the function to call.
+        """Wait for events and return the keys, whose data is the callback.
 
-        A key may belong to a socket that the function of an earlier key closes, so
-        each function has to check that its socket is still open.
+        The callback of an earlier key may close the socket of a later one, so each
+        callback has to check that its socket is still open.
         """
         return self._selector.select(timeout_s)
 
@@ -52,9 +49,9 @@
 
 
 class Timers:
-    """Functions to call at times; a heap, without cancellation.
+    """A heap of scheduled functions, without cancellation.
 
-    A function that is called although its time has moved must find out by itself.
+    A function whose time was moved has to check on its own whether it is due.
     """
 
     def __init__(self) -> None:
@@ -66,11 +63,11 @@
         heapq.heappush(self._heap, (when_s, next(self._numbers), function))
 
     def next_s(self) -> float | None:
-        """Return the earliest time, if any."""
+        """Return the earliest scheduled time, or ``None``."""
         return self._heap[0][0] if self._heap else None
 
     def take_due(self, now_s: float) -> list[abc.Callable[[], None]]:
-        """Remove and return the functions whose time has come."""
+        """Remove and return the functions that are due."""
         due = []
         while self._heap and self._heap[0][0] <= now_s:
             due.append(heapq.heappop(self._heap)[2])
--- a/src/endivevane/online/quarantine.py
+++ b/src/endivevane/online/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests whose execution kills targets, known by their fingerprint."""
+"""Quarantine of requests that crash targets, identified by fingerprint."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuarantineSettings:
-    """When a fingerprint is quarantined.
-
-    :param deaths: deaths of targets that quarantine a fingerprint
-    :param memory_s: how long a death counts
-    :param duration_s: length of the quarantine
-    :param same_death_s: deaths of one target closer than this are one death, seen by
-        several requests with the same fingerprint
-    :param max_entries: fingerprints remembered, the oldest are dropped first
+    """Conditions and duration of a quarantine.
+
+    :param deaths: target crashes after which a fingerprint is quarantined
+    :param memory_s: how long a crash counts
+    :param duration_s: duration of the quarantine
+    :param same_death_s: crashes of one target within this time count as one, since
+        several requests with the same fingerprint may report it
+    :param max_entries: fingerprints kept, least recently updated evicted first
     """
 
     deaths: int = 2
@@ -29,11 +29,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Death:
-    """One death of a target.
+    """One crash of a target.
 
-    :param target: its name, empty when it is not known
-    :param wall_ms: when it died, by the clock of the daemon that saw it
-    :param seen_s: when this daemon learnt of it
+    :param target: its name, empty if unknown
+    :param wall_ms: time of the crash by the clock of the daemon that observed it
+    :param seen_s: monotonic time when this daemon learnt of it
     """
 
     target: str
@@ -43,19 +43,19 @@
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    """What is known of one fingerprint."""
+    """Crashes and quarantine of one fingerprint."""
 
     deaths: list[_Death] = dataclasses.field(default_factory=list)
     until_wall_ms: int = 0
 
 
 class Quarantine:
-    """Counts deaths per fingerprint and refuses the quarantined ones.
+    """Counts crashes per fingerprint and quarantines fingerprints.
 
     A published entry is (fingerprint, end of the quarantine in milliseconds since the
-    epoch, name of the target that died). A negative end reports a single death at that
-    time, so that daemons which see one death each still come to two, also when both
-    targets die at the same moment; an echo of an own report is recognised.
+    epoch, name of the crashed target). A negative end reports a single crash at that
+    time, so that daemons which observe one crash each still count two, even if both
+    happen at the same moment. A daemon's own report is not counted when it returns.
     """
 
     def __init__(
@@ -70,27 +70,27 @@
         return len(self._records)
 
     def remaining_s(self, fingerprint: str) -> float:
-        """Return how long a fingerprint stays quarantined, zero when it is not."""
+        """Return the remaining quarantine of a fingerprint, zero if there is none."""
         record = self._records.get(fingerprint)
         if record is None:
             return 0.0
         return max(0.0, (record.until_wall_ms - self._clock.wall_ms()) / 1000)
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Return whether a death counts against the fingerprint."""
+        """Return whether at least one crash counts against the fingerprint."""
         record = self._records.get(fingerprint)
         return record is not None and self._count(record) > 0
 
     def record_death(
         self, fingerprint: str, target_name: str, started_s: float | None = None
     ) -> None:
-        """Count the death of a target that was running the fingerprint.
+        """Record the crash of a target that was running the fingerprint.
 
-        :param started_s: monotonic time when the run began, if it is known to be the
-            only one; a target that was started again may die twice within seconds
+        :param started_s: monotonic start of the run, if it is known to be the only
+            one; tells apart two crashes of a target that was restarted in between
         """
         now_s, now_ms = self._clock.monotonic_s(), self._clock.wall_ms()
-        record = self._touch(fingerprint)
+        record = self._get_record(fingerprint)
         for death in record.deaths:
             is_recent = now_s - death.seen_s < self._settings.same_death_s
             if started_s is not None:
@@ -104,10 +104,10 @@
     def receive(
         self, fingerprint: str, until_wall_ms: int, target_name: str = ""
     ) -> None:
-        """Take in an entry that another daemon has published.
+        """Apply an entry that another daemon has published; idempotent.
 
-        Entries may come repeatedly. The end is bounded by the local clock, so that a
-        daemon with a wrong clock can't quarantine a fingerprint for good.
+        The end is capped by the local clock, so that a daemon with a wrong clock can't
+        quarantine a fingerprint forever.
         """
         if until_wall_ms <= 0:
             self._receive_death(fingerprint, -until_wall_ms, target_name)
@@ -116,16 +116,16 @@
         if until_wall_ms <= now_ms:
             return
         latest_ms = now_ms + int(self._settings.duration_s * 1000)
-        record = self._touch(fingerprint)
+        record = self._get_record(fingerprint)
         record.until_wall_ms = max(record.until_wall_ms, min(until_wall_ms, latest_ms))
 
     def take_unpublished(self) -> list[tuple[str, int, str]]:
-        """Return the entries to publish and forget that they are due."""
+        """Remove and return the entries to publish."""
         entries = [(key, *entry) for key, entry in self._unpublished.items()]
         self._unpublished.clear()
         return entries
 
-    def _touch(self, fingerprint: str) -> _Record:
+    def _get_record(self, fingerprint: str) -> _Record:
         record = self._records.setdefault(fingerprint, _Record())
         self._records.move_to_end(fingerprint)
         if len(self._records) > self._settings.max_entries:
@@ -133,12 +133,12 @@
         return record
 
     def _receive_death(self, fingerprint: str, wall_ms: int, target_name: str) -> None:
-        """Count a death that another daemon saw, unless it is known already.
+        """Count a crash that another daemon observed, unless it is known already.
 
-        Two daemons that run the same request at one target see the same death, so
-        reports of nearly the same time count once.
+        Two daemons that run the same request at one target observe the same crash, so
+        reports with nearly the same time count once.
         """
-        record = self._touch(fingerprint)
+        record = self._get_record(fingerprint)
         same_ms = self._settings.same_death_s * 1000
         for death in record.deaths:
             is_other = death.target and target_name and death.target != target_name
@@ -159,6 +159,6 @@
         self._unpublished[fingerprint] = (record.until_wall_ms, death.target)
 
     def _count(self, record: _Record) -> int:
-        """Return how many deaths still count."""
+        """Return the number of crashes within the memory time."""
         oldest_s = self._clock.monotonic_s() - self._settings.memory_s
         return sum(death.seen_s >= oldest_s for death in record.deaths)
--- a/src/endivevane/online/quarantine_rows.py
+++ b/src/endivevane/online/quarantine_rows.py
@@ -1,4 +1,4 @@
-"""The rows of the table service from which daemons learn of deaths later."""
+"""Persistence of quarantine entries in the table service."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from endivevane.online import messages, quarantine
 
 TABLE = "quarantine"
-# The mean time between two reads of all rows. A daemon reads them once at its start;
-# later reads only make good lost messages.
+# Mean time between two reads of all rows. A daemon reads them once at its start;
+# later reads only compensate for lost messages.
 _READ_INTERVAL_S = 60.0
-# Deaths are rare, but the crash of an engine is a death for each of its requests.
+# Crashes are rare, but each crash makes an entry for every request on the engine.
 _WRITE_INTERVAL_S = 0.2
 _MAX_WAITING = 256
 _MAX_REMOVED = 20
-# A row is kept for a while after its end, so that clocks may differ.
+# Rows are kept for a while after their end to allow for clock differences.
 _REMOVE_AFTER_MS = 60_000
 _PAGE_ROWS = 500
 
@@ -31,9 +31,9 @@
 
 
 class QuarantineRows:
-    """Writes and reads the rows on a thread of its own; nothing waits for it.
+    """Writes and reads the rows on a separate thread, without blocking callers.
 
-    :param deliver: takes an entry that was read
+    :param deliver: receives each entry that was read
     """
 
     def __init__(
@@ -57,23 +57,23 @@
         )
 
     def start(self, wait_s: float) -> None:
-        """Start the thread and wait for the first read, up to a bound."""
+        """Start the thread and wait up to ``wait_s`` for the first read."""
         self._thread.start()
         self._has_read.wait(wait_s)
 
     def stop(self) -> None:
-        """End the thread; rows that were not written are left out."""
+        """Stop the thread; pending rows are not written."""
         self._is_stopped = True
         self._inbox.put(None)
         if self._thread.is_alive():
             self._thread.join(5.0)
 
     def note(self, entry: messages.QuarantineChanged) -> None:
-        """Have an entry of this daemon written; thread-safe."""
+        """Queue an entry of this daemon to be written; thread-safe."""
         self._inbox.put(entry)
 
     def read(self) -> None:
-        """Deliver the entries of all rows and remove rows that ended a while ago."""
+        """Deliver the entries of all rows and remove rows that ended some time ago."""
         now_ms, after, removed = self._clock.wall_ms(), "", 0
         while True:
             outcome = self._store.scan(TABLE, "", after, _PAGE_ROWS)
@@ -92,10 +92,10 @@
                 return
 
     def write(self, entry: messages.QuarantineChanged) -> bool:
-        """Write an entry over an older row; return whether it need not be repeated.
+        """Write an entry over an older row; return ``False`` if it must be retried.
 
-        Two single deaths that daemons saw without hearing of each other make a
-        quarantine.
+        Two single crashes that daemons observed without knowing of each other's add up
+        to a quarantine.
         """
         outcome = self._store.read(TABLE, entry.fingerprint)
         if isinstance(outcome, result.Err):
@@ -114,7 +114,7 @@
             entry = messages.QuarantineChanged(*found[0])
             self._deliver(entry)
         elif is_valid and entry.until_wall_ms < 0:
-            # The row holds the same death.
+            # The row holds the same crash.
             return True
         revision = row.revision if row is not None else None
         return self._transact(entry.fingerprint, revision, self._make_value(entry))
@@ -156,10 +156,10 @@
             due_s = read_at_s
             if self._waiting:
                 due_s = min(due_s, self._write_at_s)
-            self._take(due_s - self._clock.monotonic_s())
+            self._receive_next(due_s - self._clock.monotonic_s())
 
-    def _take(self, timeout_s: float) -> None:
-        """Wait for the next entry."""
+    def _receive_next(self, timeout_s: float) -> None:
+        """Wait for the next entry and add it to the pending ones."""
         try:
             entry = self._inbox.get(timeout=max(0.0, timeout_s))
         except queue.Empty:
@@ -172,7 +172,7 @@
             self._waiting.popitem(last=False)
 
     def _write_next(self) -> None:
-        """Write the newest entry; one that fails becomes the oldest."""
+        """Write the newest entry; a failed one is moved to the end of the queue."""
         fingerprint, entry = self._waiting.popitem(last=True)
         if not self.write(entry):
             self._waiting[fingerprint] = entry
--- a/src/endivevane/online/reader.py
+++ b/src/endivevane/online/reader.py
@@ -1,4 +1,4 @@
-"""Decodes what an engine sends on one connection."""
+"""Decoder of an engine's HTTP response."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 _MAX_HEAD_BYTES = 32 << 10
 _MAX_BODY_BYTES = 64 << 10
-# One chunk with one event. Engines send nearly every token so; this and the matching
-# case of the delivery brought the time per token from 14 to 8 us, without system calls.
+# One chunk with one event, as engines send nearly every token. This fast path and that
+# of the delivery reduced the time per token from 14 to 8 us, without system calls.
 _SINGLE_EVENT = re.compile(
     rb"([0-9a-fA-F]+)\r\nid: (\d{1,15})\ndata: ([^\r\n]*)\n\n\r\n"
 )
@@ -36,25 +36,25 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether events follow."""
+        """Whether the body is an event stream."""
         kind = self.headers.get("content-type", "").partition(";")[0].strip()
         return self.status == 200 and kind.lower() == "text/event-stream"
 
     @property
-    def says_run(self) -> bool:
+    def reports_run(self) -> bool:
         """Whether the engine states that it has run the request, or may have."""
         states = (types.RunState.MAY_HAVE_RUN.value, types.RunState.RAN.value)
         return self.headers.get("x-run-state", "").lower() in states
 
     @property
-    def says_not_run(self) -> bool:
+    def reports_not_run(self) -> bool:
         """Whether the engine states that it has not run the request."""
         state = self.headers.get("x-run-state", "").lower()
         return state == types.RunState.NOT_RUN.value
 
 
 class _Parts:
-    """Collects decoded chunks; has the part of a buffer that the receiver uses."""
+    """Collects decoded chunks; implements the buffer methods the receiver uses."""
 
     __slots__ = ("parts",)
 
@@ -70,7 +70,7 @@
 
 
 def describe_refusal(reply: Reply, body: bytes) -> bytes:
-    """Return the JSON error of a refusal; one of our own if the engine sent none."""
+    """Return the JSON error of a refusal, made here if the engine sent none."""
     try:
         if "error" in utils.decode_json(body):
             return body
@@ -81,10 +81,10 @@
 
 
 class ResponseReader:
-    """Decodes head, transfer encoding and events of one response.
+    """Decodes the head, transfer encoding and events of one response.
 
     :param source: name of the engine, for errors
-    :ivar _is_aligned: whether the decoders hold no part of a chunk or an event
+    :ivar _is_aligned: whether the decoders hold no partial chunk or event
     """
 
     __slots__ = (
@@ -113,8 +113,8 @@
         self.body = b""
 
     @property
-    def is_whole(self) -> bool:
-        """Whether the framing says that the response has ended."""
+    def is_complete(self) -> bool:
+        """Whether the response is complete according to its framing."""
         if self._chunks is not None:
             return bool(self._chunks.completed)
         return self._left == 0
@@ -122,7 +122,7 @@
     def feed(self, data: bytes) -> list[sse.Event]:
         """Return the events that are complete with this data.
 
-        A response that is no stream is collected in ``body``.
+        A response that is not a stream is collected in ``body``.
 
         :raises exceptions.ProtocolError: when the response is malformed
         """
@@ -134,10 +134,10 @@
                     return [(int(offset), payload)]
         if self.reply is None:
             self._head += data
-            rest = self._parse_head()
-            if rest is None:
+            remainder = self._parse_head()
+            if remainder is None:
                 return []
-            data = rest
+            data = remainder
         data = self._decode(data)
         if self._is_stream:
             events = self._events.feed(data)
@@ -149,7 +149,7 @@
         return []
 
     def _is_between_chunks(self) -> bool:
-        """Whether the next byte begins a chunk."""
+        """Whether the next byte starts a new chunk."""
         chunks = self._chunks
         return chunks is not None and not (
             chunks.chunk_remainder
@@ -170,9 +170,9 @@
         return data
 
     def _parse_head(self) -> bytes | None:
-        """Parse the head when it is complete and return what follows it."""
+        """Parse the head once it is complete and return the bytes that follow it."""
         while True:
-            head, separator, rest = self._head.partition(b"\r\n\r\n")
+            head, separator, remainder = self._head.partition(b"\r\n\r\n")
             if len(head) > _MAX_HEAD_BYTES:
                 raise exceptions.ProtocolError(self._source, "head too large")
             if not separator:
@@ -180,12 +180,12 @@
             reply = self._parse_reply(head)
             if reply.status >= 200:
                 break
-            self._head = rest
+            self._head = remainder
         self.reply = reply
         self._is_stream = reply.is_stream
         self._head = b""
         self._choose_framing(reply)
-        return rest
+        return remainder
 
     def _parse_reply(self, head: bytes) -> Reply:
         line, _, fields = head.partition(b"\r\n")
--- a/src/endivevane/online/relay.py
+++ b/src/endivevane/online/relay.py
@@ -1,4 +1,4 @@
-"""The task that owns all streaming sockets: one thread and one selector."""
+"""The relay: one thread with one selector that owns all streaming sockets."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     upstream,
 )
 
-# Pause after a fault of the scheduler, so that it does not come in every round.
+# Pause after an unexpected exception, so that it is not repeated in a busy loop.
 _FAULT_PAUSE_S = 0.25
 
 
 class RelayTask:
     """Serves the online requests that are posted to it.
 
-    :param online_scheduler: used by the relay's thread only, from the start on
-    :param publish: gets what other daemons must know; called on the relay's thread,
-        so it must return at once
+    :param online_scheduler: used by the relay's thread only once it has started
+    :param publish: sends updates to other daemons; called on the relay's thread, so
+        it must not block
     """
 
     def __init__(
@@ -57,20 +57,20 @@
 
     @property
     def open_streams(self) -> int:
-        """Number of requests in flight or waiting."""
+        """Number of requests in flight or queued."""
         return len(self._dispatcher.streams)
 
     @property
     def is_draining(self) -> bool:
-        """Whether new requests are refused because the daemon stops."""
+        """Whether new requests are refused because the daemon is stopping."""
         return self._dispatcher.is_draining
 
     def start(self) -> None:
-        """Start to serve."""
+        """Start the relay's thread."""
         self._thread.start()
 
     def post(self, message: object) -> None:
-        """Hand a message to the relay; thread-safe.
+        """Send a message to the relay; thread-safe.
 
         :param message: one of the classes in :mod:`endivevane.online.messages`
         """
@@ -78,7 +78,7 @@
         if self._is_wake_sent:
             return
         self._is_wake_sent = True
-        # Full: a wake-up is pending. Closed: the relay has stopped.
+        # A full socket has a wake-up pending; a closed one means the relay has stopped.
         with contextlib.suppress(OSError):
             self._wake_sender.send(b"\0")
 
@@ -86,13 +86,13 @@
         """Refuse new requests and wait until the open ones have ended.
 
         :param deadline_s: monotonic time after which the wait ends
-        :return: whether none is left
+        :return: whether all have ended
         """
         self.post(messages.Drain())
         return self._drained.wait(max(0.0, deadline_s - self._clock.monotonic_s()))
 
     def stop(self) -> None:
-        """Break what is open and end the threads."""
+        """Break off open streams and stop the threads."""
         self.post(messages.Stop())
         self._thread.join(timeout=10.0)
         self._engines.stop()
@@ -107,7 +107,7 @@
             try:
                 self._run_round()
             except Exception as error:
-                # The selector reports again what this round has not handled.
+                # The selector reports unhandled events again in the next round.
                 metrics.RELAY_FAULTS.inc()
                 logs.error("relay_fault", function="round", error=repr(error))
                 time.sleep(_FAULT_PAUSE_S)
@@ -123,12 +123,12 @@
             try:
                 key.data(events, now_s)
             except Exception as error:
-                self._contain(key.data, error)
+                self._handle_fault(key.data, error)
         for check in current.timers.take_due(now_s):
             try:
                 check()
             except Exception as error:
-                self._contain(check, error)
+                self._handle_fault(check, error)
         if now_s >= current.poll_at_s:
             self._poll_scheduler()
         if current.is_draining and not current.streams:
@@ -151,19 +151,19 @@
             return None
         return max(0.0, at_s - self._clock.monotonic_s())
 
-    def _contain(self, function: object, error: Exception) -> None:
-        """Keep a fault in one stream from ending the others."""
+    def _handle_fault(self, function: object, error: Exception) -> None:
+        """Log an unexpected exception and end only the stream that raised it."""
         metrics.RELAY_FAULTS.inc()
         logs.error("relay_fault", function=repr(function), error=repr(error))
         owner = getattr(function, "__self__", None)
         if isinstance(owner, engine_connection.EngineConnection):
             owner = owner.listener
         if isinstance(owner, stream.Stream):
-            self._break(owner)
+            self._fail_stream(owner)
 
-    def _break(self, current: stream.Stream) -> None:
+    def _fail_stream(self, current: stream.Stream) -> None:
         try:
-            self._dispatcher.break_stream(current)
+            self._dispatcher.fail_stream(current)
         except Exception as error:
             request_id = current.request.request_id
             logs.error("relay_fault", request_id=request_id, error=repr(error))
@@ -171,7 +171,7 @@
     def _on_wake(self, _events: int, _now_s: float) -> None:
         with contextlib.suppress(OSError):
             self._wake_receiver.recv(64)
-        # Cleared before the queue is read, so that a later message wakes again.
+        # Cleared before the queue is read, so that later messages wake the relay again.
         self._is_wake_sent = False
         while True:
             try:
@@ -186,7 +186,7 @@
                 logs.error("relay_fault", message=kind, error=repr(error))
                 owner = self._dispatcher.find_stream(message)
                 if owner is not None:
-                    self._break(owner)
+                    self._fail_stream(owner)
 
     @functools.singledispatchmethod
     def _handle(self, message: object) -> None:
@@ -197,16 +197,16 @@
         self._dispatcher.submit(message)
 
     @_handle.register
-    def _take_opened(self, message: messages.Opened) -> None:
-        self._dispatcher.take_opened(message)
+    def _handle_opened(self, message: messages.Opened) -> None:
+        self._dispatcher.handle_opened(message)
 
     @_handle.register
-    def _take_open_failure(self, message: messages.OpenFailed) -> None:
-        self._dispatcher.take_open_failure(message)
+    def _handle_open_failure(self, message: messages.OpenFailed) -> None:
+        self._dispatcher.handle_open_failure(message)
 
     @_handle.register
-    def _take_prompt(self, message: messages.PromptReady) -> None:
-        self._dispatcher.take_prompt(message)
+    def _handle_prompt(self, message: messages.PromptReady) -> None:
+        self._dispatcher.handle_prompt(message)
 
     @_handle.register
     def _retry_cancel(self, message: messages.CancelMissed) -> None:
--- a/src/endivevane/online/relay_settings.py
+++ b/src/endivevane/online/relay_settings.py
@@ -9,14 +9,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """Bounds of what the relay holds and waits for.
+    """Limits and timeouts of the relay.
 
-    :param max_streams: requests in flight or waiting; more are refused
-    :param high_watermark_bytes: the engine is not read while the caller has more
-        bytes to take
-    :param low_watermark_bytes: the engine is read again below this
-    :param slow_caller_timeout_s: a caller that takes no byte for this long is cut off
-    :param max_collected_bytes: largest answer that is collected for an unstreamed call
+    :param max_streams: maximum requests in flight or queued; more are refused
+    :param high_watermark_bytes: reading from the engine pauses while more than this is
+        buffered for the caller
+    :param low_watermark_bytes: reading from the engine resumes below this
+    :param slow_caller_timeout_s: time after which a caller that reads nothing is
+        disconnected
+    :param max_collected_bytes: largest response collected for an unstreamed call
     """
 
     max_streams: int = 2000
--- a/src/endivevane/online/routing.py
+++ b/src/endivevane/online/routing.py
@@ -1,4 +1,4 @@
-"""Choice of a target for a request."""
+"""Selection of a target for a request."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from endivevane.coordination import rendezvous
 from endivevane.online import contract, target_state
 
-# Daemons of each current deployment, assumed when the count is not known.
+# Assumed number of daemons when the count is not known; current deployments have 9.
 DEFAULT_DAEMONS = 9
-_SEARCHED_RANKS = 4
+_UNSORTED_RANKS = 4
 _COMPARED_LOADS = 16
 
-# Targets in the order in which they are preferred.
+# Targets grouped by preference, most preferred group first.
 Tiers = tuple[list[target_state.TargetState], ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where a daemon runs.
+    """Location of a daemon.
 
-    :param daemon: its name, the key of its candidate subset
+    :param daemon: name of the daemon; seeds its choice of candidates
     """
 
     daemon: str
@@ -36,22 +36,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """Weights of the score, in units of a whole target's load.
-
-    :param local_candidates: bound of the subset in the daemon's own region, as long
-        as the subsets of all daemons cover the targets
-    :param coverage: subsets that each target should be in on average; with 4 of them
-        and independent choices 2% of the targets are in none
-    :param remote_candidates: bound of the subset in other regions
-    :param strong_affinity: share of the prompt that makes affinity strong
-    :param affinity_weight: how much a fully cached prompt is worth; 0.6 lets a target
-        with the whole prompt win until its load is 60% of its slots higher
+    """Weights of the routing cost; 1.0 is the load of a fully used target.
+
+    :param local_candidates: maximum candidates in the daemon's own region, unless
+        ``coverage`` needs more
+    :param coverage: average number of daemons that have a target as a candidate; at 4
+        with independent choices, 2% of the targets are nobody's candidate
+    :param remote_candidates: maximum candidates in other regions
+    :param strong_affinity: cached share of the prompt that makes affinity strong
+    :param affinity_weight: cost reduction for a fully cached prompt; at 0.6 such a
+        target is preferred until its load is higher by 60% of its slots
     :param zone_cost: cost of another zone of the same region
     :param region_cost: cost of another region
     :param model_cost: cost of a target that would have to load the model first
-    :param first_margin: how much dearer the first target of a fingerprint's pair may
-        be; more than the zone cost, so that daemons of all zones agree in an idle
-        fleet
+    :param first_margin: cost by which the first target of a fingerprint's pair may
+        exceed the second; above the zone cost, so that daemons of all zones choose
+        the same target in an idle fleet
     """
 
     local_candidates: int = 16
@@ -72,13 +72,13 @@
     settings: RoutingSettings,
     daemons: int = DEFAULT_DAEMONS,
 ) -> list[snapshot.Target]:
-    """Return the targets that a daemon sends a service's requests to.
+    """Return the targets to which a daemon sends a service's requests.
 
-    Each daemon keeps few connections and load reports; the rendezvous hash spreads
-    the daemons evenly over the targets and changes little when targets come and go.
+    A subset limits the connections and load reports of each daemon. Rendezvous hashing
+    spreads the daemons evenly and changes the subset little when targets come or go.
 
-    :param leaving: names of targets that get no new work
-    :param daemons: daemons that share the targets
+    :param leaving: names of draining targets
+    :param daemons: number of daemons that share the targets
     """
     local: dict[str, float] = {}
     remote: dict[str, float] = {}
@@ -98,7 +98,7 @@
 
 
 class Router:
-    """Scores targets and chooses one for a request."""
+    """Chooses the target with the lowest cost for a request."""
 
     def __init__(self, place: Place, settings: RoutingSettings) -> None:
         self._place = place
@@ -110,20 +110,20 @@
         tiers: Tiers,
         may_use: abc.Callable[[target_state.TargetState], bool],
     ) -> target_state.TargetState | None:
-        """Return the target to send to, of the first tier that has one.
+        """Return a usable target from the first tier that has one.
 
-        A target with a strong affinity is chosen from all; otherwise one of two is,
-        because the best of all would draw the requests of all daemons between two
-        load reports. The two are the first by rendezvous hash over the fingerprint:
-        random for different requests, but the same at every daemon for a request that
-        is sent to several daemons, so that it can crash two targets at most.
+        Targets with a strong cache affinity are searched in the whole tier. Otherwise
+        two targets are compared: choosing the best of all would send the requests of
+        all daemons to one target between two load reports. The two rank first by
+        rendezvous hash of the fingerprint, so all daemons send copies of a request to
+        the same two targets, and it can crash two at most.
 
         :param tiers: targets in the order of :func:`sort_tiers`
-        :param may_use: tells whether a target may be used now; asked of few targets,
-            since a daemon may have hundreds of candidates
+        :param may_use: returns whether a target may be used now; called for few
+            targets, since a daemon may have hundreds of candidates
         """
         for tier in tiers:
-            best = self._find_affine(request, tier, may_use)
+            best = self._find_affinity_target(request, tier, may_use)
             if best is not None:
                 return best
             usable = filter(may_use, rank_targets(request.fingerprint, tier))
@@ -156,34 +156,34 @@
             cost += settings.zone_cost
         if not state.has_model(request.model):
             cost += settings.model_cost
-        return cost - settings.affinity_weight * _match_share(request, state)
+        return cost - settings.affinity_weight * _compute_cached_share(request, state)
 
-    def _find_affine(
+    def _find_affinity_target(
         self,
         request: contract.OnlineRequest,
         tier: abc.Sequence[target_state.TargetState],
         may_use: abc.Callable[[target_state.TargetState], bool],
     ) -> target_state.TargetState | None:
-        """Return the target with a strong affinity that is worth its load."""
+        """Return the best target with strong affinity, unless its load is too high."""
         hashes = request.prefix_hashes
         if not hashes:
             return None
-        # The shortest prefix that is long enough tells most targets apart.
+        # Only the shortest sufficient prefix is looked up per target.
         needed = math.ceil(len(hashes) * self._settings.strong_affinity)
         pivot = hashes[max(needed, 1) - 1]
-        affine = [
+        matching = [
             state
             for state in tier
             if pivot in state.prefixes
             and may_use(state)
             and state.estimate_load() < state.target.slots
         ]
-        if not affine:
+        if not matching:
             return None
-        best = min(affine, key=lambda state: self.compute_cost(request, state))
+        best = min(matching, key=lambda state: self.compute_cost(request, state))
         limit = _compute_share(best) - self._settings.affinity_weight
-        # No load is below zero, so the others need not be looked at.
-        if limit <= 0 or limit <= _find_lightest(request.fingerprint, tier, may_use):
+        # No load is below zero, so the other targets need not be checked.
+        if limit <= 0 or limit <= _find_lowest_load(request.fingerprint, tier, may_use):
             return best
         return None
 
@@ -191,7 +191,7 @@
 def sort_tiers(
     region: str, model: str, states: abc.Sequence[target_state.TargetState]
 ) -> Tiers:
-    """Group targets: those with the model first, among them those of the own region.
+    """Group targets: first by whether they have the model, then by region.
 
     :param region: region of the daemon
     """
@@ -205,20 +205,20 @@
 def rank_targets(
     fingerprint: str, states: abc.Sequence[target_state.TargetState]
 ) -> abc.Iterator[target_state.TargetState]:
-    """Yield targets in the order of the rendezvous hash over a fingerprint.
+    """Yield targets in the order of the rendezvous hash of a fingerprint.
 
-    Without weights: the cost of the first two counts their slots, and a logarithm for
-    each of the hundreds of candidates that a few daemons have would take longest here.
+    The hash is unweighted: the cost accounts for slots already, and a logarithm for
+    each of up to hundreds of candidates would dominate the run time.
     """
     seed = xxhash.xxh3_64_intdigest(fingerprint)
     ranks = [xxhash.xxh3_64_intdigest(state.target.name, seed) for state in states]
-    # Mostly the first two are usable, which sorting all would not pay for.
-    for _ in range(min(_SEARCHED_RANKS, len(ranks))):
+    # The first two are usable in most cases, so a full sort is avoided.
+    for _ in range(min(_UNSORTED_RANKS, len(ranks))):
         best = ranks.index(max(ranks))
         yield states[best]
         ranks[best] = -1
-    rest = sorted(zip(ranks, range(len(ranks)), strict=True), reverse=True)
-    for rank, number in rest:
+    remaining = sorted(zip(ranks, range(len(ranks)), strict=True), reverse=True)
+    for rank, number in remaining:
         if rank >= 0:
             yield states[number]
 
@@ -226,16 +226,16 @@
 def choose_pair(
     fingerprint: str, states: abc.Sequence[target_state.TargetState]
 ) -> list[target_state.TargetState]:
-    """Return the two targets that a fingerprint belongs to, the first one first."""
+    """Return the two highest-ranked targets for a fingerprint, in order."""
     return list(itertools.islice(rank_targets(fingerprint, states), 2))
 
 
-def _find_lightest(
+def _find_lowest_load(
     fingerprint: str,
     states: abc.Sequence[target_state.TargetState],
     may_use: abc.Callable[[target_state.TargetState], bool],
 ) -> float:
-    """Return the smallest load share of a bounded number of usable targets."""
+    """Return the lowest utilisation among a limited number of usable targets."""
     count = min(_COMPARED_LOADS, len(states))
     start = xxhash.xxh3_64_intdigest(fingerprint) % len(states)
     compared = [states[(start + offset) % len(states)] for offset in range(count)]
@@ -247,7 +247,7 @@
     return state.estimate_load() / state.target.slots
 
 
-def _match_share(
+def _compute_cached_share(
     request: contract.OnlineRequest, state: target_state.TargetState
 ) -> float:
     """Return the share of the prompt that the target has cached."""
--- a/src/endivevane/online/scheduler.py
+++ b/src/endivevane/online/scheduler.py
@@ -1,4 +1,4 @@
-"""Decisions for online requests: send, queue, refuse, retry."""
+"""Scheduling of online requests: send, queue, refuse or retry."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 )
 from endivevane.web import errors
 
-# Queued requests are looked at again this often, besides after each completion.
-_TICK_S = 0.25
-# Free slots per target below which batch work is asked to yield.
+# Interval at which queued requests are checked, besides after each completion.
+_POLL_INTERVAL_S = 0.25
+# Free slots per target below which batch senders are asked to free slots.
 _ONLINE_HEADROOM_SLOTS = 2
 _RETRY_AFTER_S = 1.0
-_OVERLOAD = frozenset(
+_OVERLOAD_FAILURES = frozenset(
     (
         contract.AttemptFailure.FIRST_TOKEN_TIMEOUT,
         contract.AttemptFailure.REFUSED_NOT_RUN,
@@ -38,15 +38,13 @@
 
 
 class Scheduler:
-    """Decides where and when online requests run, with the clock passed in.
-
-    Not thread-safe and without sockets: one thread calls it.
+    """Decides where and when online requests run. Not thread-safe; does no I/O.
 
     :param place: name, zone and region of the daemon
     :param count_daemons: returns how many daemons share the targets; called when the
-        configuration or the set of leaving targets changes
-    :param link: bounds what crosses the link between the regions
-    :ivar find_meter: returns what counts the bytes of an attempt, see
+        configuration or the set of draining targets changes
+    :param link: limits the traffic on the link between the regions
+    :ivar find_meter: returns the byte counter of an attempt, see
         :meth:`fleet.Fleet.find_meter`
     """
 
@@ -77,34 +75,34 @@
         self._quarantine = quarantine.Quarantine(
             quarantine.QuarantineSettings(), scheduler_clock
         )
-        self._flights: dict[str, flights.Flight] = {}
+        self._sent_requests: dict[str, flights.SentRequest] = {}
         self._retrier = retrying.Retrier(
             scheduler_clock,
             self._fleet,
             self._router,
             self._quarantine,
-            self._flights,
+            self._sent_requests,
             self._begin_attempt,
         )
         self._active: collections.Counter[str] = collections.Counter()
-        self._yields: dict[str, contract.YieldRequest] = {}
+        self._yield_requests: dict[str, contract.YieldRequest] = {}
 
     def set_snapshot(self, current: snapshot.Snapshot) -> None:
-        """Put a configuration into force."""
+        """Apply a configuration."""
         self._fleet.set_snapshot(current)
 
     def set_leaving(self, target_names: abc.Iterable[str]) -> None:
-        """Set the targets that get no new work; replaces the former set."""
+        """Set the draining targets, which get no new work; replaces the former set."""
         self._fleet.set_leaving(target_names)
 
     def set_load(self, target_name: str, report: engine.LoadReport) -> None:
-        """Take in the load report of a target."""
+        """Apply the load report of a target."""
         self._fleet.set_load(target_name, report)
 
     def set_cache_events(
         self, target_name: str, events: abc.Iterable[abc.Mapping[str, typing.Any]]
     ) -> None:
-        """Take in cache events of a target."""
+        """Apply cache events of a target."""
         state = self._fleet.targets.get(target_name)
         if state is not None:
             state.prefixes.apply_events(events)
@@ -112,12 +110,12 @@
     def set_quarantine(
         self, fingerprint: str, until_wall_ms: int, target_name: str = ""
     ) -> None:
-        """Take in a quarantine entry of another daemon."""
+        """Apply a quarantine entry of another daemon."""
         self._quarantine.receive(fingerprint, until_wall_ms, target_name)
         self._fleet.request_scans()
 
     def submit(self, request: contract.OnlineRequest) -> contract.SubmitDecision:
-        """Decide on a new request: send it, queue it or refuse it."""
+        """Decide whether to send, queue or refuse a new request."""
         error = self._check_request(request)
         if error is not None:
             return contract.Refuse(request, error)
@@ -133,11 +131,11 @@
             return self.demand.record_refusal(contract.Refuse(request, error))
         self.demand.begin_waiting(request)
         self._active[request.organisation] += 1
-        self._ask_for_slots(state.candidates)
+        self._request_slots(state.candidates)
         return contract.Queued(request)
 
     def poll(self) -> list[contract.Send | contract.Refuse]:
-        """Return what to do with queued and held requests now."""
+        """Return the decisions for queued and held requests that are due."""
         actions = self._retrier.take_due()
         for action in actions:
             if isinstance(action, contract.Refuse):
@@ -145,7 +143,7 @@
         for state in self._fleet.services.values():
             if not len(state.queue):
                 continue
-            for refusal in state.take_hopeless(self.check_quarantine):
+            for refusal in state.pop_unservable(self.check_quarantine):
                 self.demand.record_refusal(refusal)
                 self._end_request(refusal.request)
                 actions.append(refusal)
@@ -160,14 +158,15 @@
     def next_timer_s(self) -> float | None:
         """Return the monotonic time when ``poll`` is due, ``None`` if nothing waits."""
         timers = [
-            state.next_timer_s(_TICK_S) for state in self._fleet.services.values()
+            state.next_timer_s(_POLL_INTERVAL_S)
+            for state in self._fleet.services.values()
         ]
         timers.append(self._fleet.use_notices.next_due_s())
         timers.append(self._retrier.next_due_s())
         return min((item for item in timers if item is not None), default=None)
 
     def record_first_token(self, attempt: contract.Attempt) -> None:
-        """Note that the target has begun to answer."""
+        """Record that the target has begun to answer."""
         state = self._fleet.targets.get(attempt.target.name)
         if state is None or attempt.attempt_id not in state.in_flight:
             return
@@ -178,9 +177,9 @@
     def finish(
         self, attempt: contract.Attempt, outcome: contract.AttemptOutcome
     ) -> None:
-        """Note that an attempt ended for good; unknown attempts are ignored."""
-        flight = self._flights.get(attempt.request.request_id)
-        if flight is None or flight.attempt.attempt_id != attempt.attempt_id:
+        """Record that an attempt ended without a retry; ignore unknown attempts."""
+        sent = self._sent_requests.get(attempt.request.request_id)
+        if sent is None or sent.attempt.attempt_id != attempt.attempt_id:
             return
         if outcome is contract.AttemptOutcome.COMPLETED:
             self._record_completion(attempt)
@@ -196,54 +195,54 @@
     ) -> contract.RetryDecision:
         """Decide what follows a failed attempt.
 
-        After a :class:`contract.Refuse` the request is over for the scheduler.
+        After a :class:`contract.Refuse` the scheduler no longer tracks the request.
 
-        :param delivered_offset: offset of the last event that the caller got, -1 when
-            it got none
+        :param delivered_offset: offset of the last event delivered to the caller, -1
+            for none
         """
-        flight = self._flights.get(attempt.request.request_id)
-        if flight is None or flight.attempt.attempt_id != attempt.attempt_id:
+        sent = self._sent_requests.get(attempt.request.request_id)
+        if sent is None or sent.attempt.attempt_id != attempt.attempt_id:
             error = errors.TargetFailed(
                 "the attempt is not known", run_state=types.RunState.MAY_HAVE_RUN
             )
             return contract.Refuse(attempt.request, error)
-        flight.record_failure(failure)
-        if flight.try_resume(failure, delivered_offset):
+        sent.record_failure(failure)
+        if sent.try_resume(failure, delivered_offset):
             return contract.Resume(attempt, delivered_offset)
-        self._blame(flight, failure)
+        self._record_target_failure(sent, failure)
         self._fleet.end_attempt(attempt.target.name, attempt.attempt_id)
-        decision = self._retrier.decide(flight, failure, delivered_offset)
+        decision = self._retrier.decide(sent, failure, delivered_offset)
         if isinstance(decision, contract.Refuse):
             self._end_request(attempt.request)
         return decision
 
     def abandon(self, request: contract.OnlineRequest) -> None:
-        """Forget a queued request whose caller left."""
+        """Remove a queued request whose caller disconnected."""
         state = self._fleet.services.get(request.service.name)
         if state is not None and state.queue.remove(request.request_id) is not None:
             self._end_request(request)
 
     def take_use_notices(self) -> list[contract.UseNotice]:
-        """Return the notices to batch senders that are due."""
+        """Remove and return the due notices to batch senders."""
         return self._fleet.use_notices.take_due()
 
     def take_yield_requests(self) -> list[contract.YieldRequest]:
-        """Return the requests to batch senders since the last call."""
-        taken = list(self._yields.values())
-        self._yields.clear()
+        """Remove and return the requests to batch senders to free slots."""
+        taken = list(self._yield_requests.values())
+        self._yield_requests.clear()
         return taken
 
     def record_death(self, fingerprint: str, target_name: str) -> None:
-        """Count a target that died of a request."""
+        """Record that a request crashed a target."""
         self._quarantine.record_death(fingerprint, target_name)
         self._fleet.request_scans()
 
     def take_quarantined(self) -> list[tuple[str, int, str]]:
-        """Return the quarantine entries to publish since the last call."""
+        """Remove and return the quarantine entries to publish."""
         return self._quarantine.take_unpublished()
 
     def _check_request(self, request: contract.OnlineRequest) -> errors.ApiError | None:
-        """Return why a request can't be taken on whatever the load is."""
+        """Return why a request is refused regardless of load, or ``None``."""
         if request.service.name not in self._fleet.services:
             return errors.Unavailable(f"service {request.service.name} is not served")
         error = self.check_quarantine(request)
@@ -267,7 +266,7 @@
     def check_quarantine(
         self, request: contract.OnlineRequest
     ) -> errors.ApiError | None:
-        """Return why a request must not run because of what it did to targets."""
+        """Return an error if the request's fingerprint is quarantined."""
         remaining_s = self._quarantine.remaining_s(request.fingerprint)
         if remaining_s <= 0:
             return None
@@ -293,7 +292,7 @@
     ) -> contract.Send:
         state.budget.record_request()
         attempt = self._begin_attempt(request, chosen, 1)
-        self._flights[request.request_id] = flights.Flight(request, attempt)
+        self._sent_requests[request.request_id] = flights.SentRequest(request, attempt)
         return contract.Send(attempt)
 
     def _begin_attempt(
@@ -314,7 +313,7 @@
         return attempt
 
     def _end_request(self, request: contract.OnlineRequest) -> None:
-        self._flights.pop(request.request_id, None)
+        self._sent_requests.pop(request.request_id, None)
         self.demand.end_waiting(request.request_id)
         self._active[request.organisation] -= 1
         if self._active[request.organisation] <= 0:
@@ -329,35 +328,35 @@
             duration_s = self._clock.monotonic_s() - attempt.started_s
             service.service_time.record(duration_s)
 
-    def _blame(self, flight: flights.Flight, failure: contract.AttemptFailure) -> None:
-        """Count a failure against the target, and a death against the request."""
-        attempt = flight.attempt
-        if failure is contract.AttemptFailure.CONNECT_FAILED or flight.is_death(
-            failure
-        ):
-            flight.lost_targets += 1
-        if flight.is_death(failure):
+    def _record_target_failure(
+        self, sent: flights.SentRequest, failure: contract.AttemptFailure
+    ) -> None:
+        """Count a failure against the target, and a crash against the request."""
+        attempt = sent.attempt
+        if failure is contract.AttemptFailure.CONNECT_FAILED or sent.is_crash(failure):
+            sent.lost_targets += 1
+        if sent.is_crash(failure):
             self.record_death(attempt.request.fingerprint, attempt.target.name)
         state = self._fleet.targets.get(attempt.target.name)
         if state is None or failure is contract.AttemptFailure.DEADLINE:
             return
-        if flight.is_death(failure):
+        if sent.is_crash(failure):
             state.prefixes.restart()
-        if failure in _OVERLOAD:
+        if failure in _OVERLOAD_FAILURES:
             state.limit.record_overload()
-        # A failed resume is the second failure in a row: connection, then target.
-        weight = 1 if flight.resumed_at is None else 2
+        # A failed resume counts twice: the connection broke, then the resume failed.
+        weight = 1 if sent.resumed_at is None else 2
         state.health.record_failure(
             attempt.attempt_id, attempt.started_s, self._clock.monotonic_s(), weight
         )
 
-    def _ask_for_slots(self, states: abc.Iterable[target_state.TargetState]) -> None:
-        """Ask batch senders for slots where online load comes close to the slots."""
+    def _request_slots(self, states: abc.Iterable[target_state.TargetState]) -> None:
+        """Ask batch senders to free slots at targets with little headroom."""
         for state in states:
             slots = state.take_wanted_slots(_ONLINE_HEADROOM_SLOTS)
             if slots <= 0:
                 continue
             name = state.target.name
-            if name in self._yields:
-                slots += self._yields[name].slots
-            self._yields[name] = contract.YieldRequest(state.target, slots)
+            if name in self._yield_requests:
+                slots += self._yield_requests[name].slots
+            self._yield_requests[name] = contract.YieldRequest(state.target, slots)
--- a/src/endivevane/online/service_state.py
+++ b/src/endivevane/online/service_state.py
@@ -1,4 +1,4 @@
-"""What a daemon keeps per service: candidates, queue, budget and measured times."""
+"""State of a service: candidates, queue, retry budget and service time."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from endivevane.online import contract, target_state
 from endivevane.web import errors
 
-# A service whose targets are all avoided keeps requests when a probe is this near.
+# A service whose targets are all avoided queues requests if a probe is this close.
 _PROBE_WAIT_S = 1.0
 _QUEUE_BYTES = 16 << 20
 _INITIAL_SERVICE_TIME_S = 1.0
 _MAX_RETRY_AFTER_S = 60.0
-# The whole queue is looked through this often, besides after changes that may make
-# requests hopeless; a look at 256 entries takes longer than a decision.
+# Interval of scans of the whole queue, besides those after changes that may make
+# requests unservable; scanning 256 entries takes longer than a decision.
 _SCAN_INTERVAL_S = 0.1
-# A queued request is refused early only if its deadline would be missed even with
-# an estimate of the wait that is too long by this factor: the mean of the last ten
-# durations is easily off by a third.
-_HOPELESS_FACTOR = 1.5
+# A queued request is refused early only if it would miss its deadline even with the
+# estimated wait divided by this factor: the mean of the last ten durations is easily
+# off by a third.
+_WAIT_ERROR_FACTOR = 1.5
 
 
 class ServiceState:
@@ -42,18 +42,18 @@
         self._scan_at_s = 0.0
 
     def set_candidates(self, candidates: list[target_state.TargetState]) -> None:
-        """Take over the targets that this daemon sends to."""
+        """Set the targets to which this daemon sends."""
         self.candidates = candidates
         self.request_scan()
 
     def request_scan(self) -> None:
-        """Look through the whole queue at the next poll."""
+        """Scan the whole queue at the next poll."""
         self._scan_at_s = 0.0
 
     def set_service(
         self, service: snapshot.Service, weights: abc.Mapping[str, float]
     ) -> None:
-        """Take over a changed configuration.
+        """Apply a changed configuration.
 
         :param weights: weights of the organisations
         """
@@ -62,7 +62,7 @@
         self.queue.set_weights(dict(weights))
 
     def find_outage(self) -> errors.ApiError | None:
-        """Return an error when no target can take a request soon."""
+        """Return an error if no target will be available soon."""
         name = self.service.name
         if not self.candidates:
             return errors.Unavailable(f"{name} has no target", retry_after_s=5.0)
@@ -80,12 +80,12 @@
         )
 
     def check_wait(self, request: contract.OnlineRequest) -> errors.ApiError | None:
-        """Return an error when the request would wait past its deadline."""
+        """Return an error if the request would wait past its deadline."""
         ahead = self.queue.count_ahead(request.priority)
         return self._check_wait(request, self._estimate_wait_s(ahead))
 
     def enqueue(self, request: contract.OnlineRequest) -> errors.ApiError | None:
-        """Queue a request; return an error when the queue is full."""
+        """Queue a request; return an error if the queue is full."""
         entry = deadlines.Entry(
             entry_id=request.request_id,
             organisation=request.organisation,
@@ -103,12 +103,12 @@
             retry_after_s=min(wait_s, _MAX_RETRY_AFTER_S),
         )
 
-    def take_hopeless(
+    def pop_unservable(
         self, check: abc.Callable[[contract.OnlineRequest], errors.ApiError | None]
     ) -> list[contract.Refuse]:
-        """Take out the queued requests that will not be run, with their answers.
+        """Remove queued requests that will not run and return their refusals.
 
-        :param check: returns an error when a request must not be run any more
+        :param check: returns an error if a request must not run any more
         """
         now_s = self._clock.monotonic_s()
         refusals = [
@@ -124,9 +124,9 @@
             return refusals
         self._scan_at_s = now_s + _SCAN_INTERVAL_S
         outage = self.find_outage()
-        turn_s = self._estimate_wait_s(0) / _HOPELESS_FACTOR
+        min_wait_s = self._estimate_wait_s(0) / _WAIT_ERROR_FACTOR
         for ahead, entry in enumerate(list(self.queue)):
-            wait_s = (ahead + 1) * turn_s
+            wait_s = (ahead + 1) * min_wait_s
             error = outage or check(entry.item)
             error = error or self._check_wait(entry.item, wait_s)
             if error is None:
@@ -135,33 +135,31 @@
             refusals.append(contract.Refuse(entry.item, error))
         return refusals
 
-    def next_timer_s(self, tick_s: float) -> float | None:
-        """Return when the queue has to be looked at, ``None`` when it is empty.
+    def next_timer_s(self, poll_interval_s: float) -> float | None:
+        """Return when the queue has to be polled, ``None`` if it is empty.
 
-        :param tick_s: longest time between two looks
+        :param poll_interval_s: maximum time between two polls
         """
         first_s = self.queue.first_deadline_s()
         if first_s is None:
             return None
         now_s = self._clock.monotonic_s()
-        due_s = min(now_s + tick_s, first_s)
+        due_s = min(now_s + poll_interval_s, first_s)
         for candidate in self.candidates:
             probe_s = candidate.health.next_probe_s()
-            # A probe that is due already waits for something else than time.
+            # An overdue probe is not waiting for time, so no timer is set for it.
             if probe_s is not None and probe_s > now_s:
                 due_s = min(due_s, probe_s)
         return due_s
 
     def _estimate_wait_s(self, ahead: int) -> float:
-        places = sum(
+        slots = sum(
             candidate.limit.limit
             for candidate in self.candidates
             if not candidate.health.is_avoided
         )
-        # With all targets avoided a probe is near, so one place is expected.
-        return admission.estimate_wait_s(
-            ahead, max(1, places), self.service_time.mean_s
-        )
+        # If all targets are avoided, a probe is close, so one slot is assumed.
+        return admission.estimate_wait_s(ahead, max(1, slots), self.service_time.mean_s)
 
     def _check_wait(
         self, request: contract.OnlineRequest, wait_s: float
--- a/src/endivevane/online/sse.py
+++ b/src/endivevane/online/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events of the OpenAI HTTP API."""
+"""Server-sent events of the OpenAI HTTP API: parsing, encoding and merging."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 _MAX_EVENT_BYTES = 1 << 20
 _ERROR_STARTS = (b'{"error"', b'{ "error"')
 
-# Offset of the ``id:`` line, ``None`` without one, and the content of the data lines.
+# Offset from the ``id:`` line, ``None`` without one, and content of the data lines.
 Event = tuple[int | None, bytes]
 
 
@@ -28,7 +28,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no part of an event is held back."""
+        """Whether no partial event is buffered."""
         return not self._rest
 
     def feed(self, data: bytes) -> list[Event]:
@@ -46,7 +46,7 @@
             raise exceptions.ProtocolError(self._source, "event too large")
         events: list[Event] = []
         for block in blocks:
-            # Nearly all events are one id line and one data line.
+            # Fast path: nearly all events are one id line and one data line.
             head, _, body = block.partition(b"\ndata: ")
             number = head[4:]
             if head.startswith(b"id: ") and number.isdigit() and b"\n" not in body:
@@ -78,7 +78,7 @@
 
 
 def encode_events(payloads: list[bytes]) -> bytes:
-    """Return events without ids."""
+    """Return encoded events without ids."""
     parts = [
         item.replace(b"\n", b"\ndata: ") if b"\n" in item else item for item in payloads
     ]
@@ -86,14 +86,14 @@
 
 
 def is_error(payload: bytes) -> bool:
-    """Return whether an event reports an error instead of a piece of the answer."""
+    """Return whether an event reports an error instead of a part of the response."""
     return payload.startswith(_ERROR_STARTS)
 
 
 def extract_choices(payload: bytes) -> bytes:
-    """Return the part of an event that two runs of a request have in common.
+    """Return the part of an event that is equal in deterministic runs.
 
-    The identifier and the time of creation differ between runs.
+    The identifier and creation time differ between runs.
     """
     try:
         return utils.encode_json(utils.decode_json(payload)["choices"])
@@ -102,9 +102,9 @@
 
 
 def make_completion(payloads: list[bytes]) -> bytes:
-    """Return the ``chat.completion`` body for the events of a whole answer.
+    """Return the ``chat.completion`` body for the events of a complete response.
 
-    :raises ValueError: when an event is not a chunk of an answer
+    :raises ValueError: if an event is not a chunk of a completion
     """
     answer: dict[str, typing.Any] = {}
     choices: dict[int, dict[str, typing.Any]] = {}
@@ -169,7 +169,7 @@
 
 
 def _append(holder: dict[str, typing.Any], key: str, value: typing.Any) -> None:
-    """Add a piece of text or of a list; other values replace the earlier one."""
+    """Append text or list items; other values replace the earlier one."""
     present = holder.get(key)
     is_same_kind = type(present) is type(value)
     if is_same_kind and isinstance(value, str | list):
--- a/src/endivevane/online/stream.py
+++ b/src/endivevane/online/stream.py
@@ -1,4 +1,4 @@
-"""State of one relayed request, from its submission to the end of its answer."""
+"""State of one relayed request, from submission to the end of the response."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 )
 from endivevane.web import errors
 
-# The engine says that the request itself is wrong.
+# The engine reports that the request itself is invalid.
 _FINAL_STATUSES = frozenset((400, 413, 415, 422))
-# The engine has not loaded the model or the adapter, which another one may have.
+# The engine has not loaded the model or adapter; another engine may have it.
 _NOT_LOADED_STATUS = 404
-_tickets = itertools.count(1)
+_call_numbers = itertools.count(1)
 
 
 class Host(typing.Protocol):
-    """What a stream needs of the relay.
+    """The interface to the relay that a stream uses.
 
     :ivar now_s: monotonic time of the current round of events
     """
@@ -50,31 +50,31 @@
         """Cancel an attempt at its target."""
 
     def find_meter(self, attempt: contract.Attempt) -> abc.Callable[[int], None] | None:
-        """Return what counts an attempt's bytes, ``None`` if nothing has to."""
+        """Return the byte counter of an attempt, or ``None``."""
 
     def record_first_event(self, stream: Stream) -> None:
-        """Note the first event of an attempt."""
+        """Record the first event of an attempt."""
 
     def fail_attempt(
         self, stream: Stream, failure: contract.AttemptFailure, detail: str
     ) -> None:
         """Decide what follows a failed attempt."""
 
-    def watch_limit(self, stream: Stream) -> None:
-        """Look at the stream again at its time limit."""
+    def schedule_check(self, stream: Stream) -> None:
+        """Check the stream again at its next time limit."""
 
     def end_stream(self, stream: Stream) -> None:
-        """Forget the stream."""
+        """Remove the stream and report its end."""
 
 
 class Stream:
-    """Copies the answer of a request from engines to its caller.
+    """Relays the response of a request from engines to its caller.
 
     :ivar attempts: number of attempts, the current one included
     :ivar received: last offset received from the current attempt
-    :ivar ticket: number of the call to the engine that is under way
+    :ivar call_number: number of the current call to the engine, 0 for none
     :ivar timer_at_s: earliest timer that is set for the stream
-    :ivar detail: what led to the outcome
+    :ivar detail: reason for the outcome
     """
 
     def __init__(self, message: messages.SubmitRequest, host: Host) -> None:
@@ -84,7 +84,7 @@
         self.received = -1
         self.phase = stream_states.Phase.QUEUED
         self.first_event_s: float | None = None
-        self.ticket = 0
+        self.call_number = 0
         self.timer_at_s = float("inf")
         self.outcome: stream_states.Outcome | None = None
         self.detail = ""
@@ -104,12 +104,12 @@
 
     @property
     def is_ended(self) -> bool:
-        """Whether the caller's connection is closed and nothing follows."""
+        """Whether the stream has ended and the caller's connection is closed."""
         return self.phase is stream_states.Phase.ENDED
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an engine may have run the request, in whole or in part."""
+        """Whether an engine may have run the request, completely or in part."""
         return self._may_run or self._may_have_run
 
     @property
@@ -141,14 +141,14 @@
         self._host.resume_attempt(self)
 
     def hold(self) -> None:
-        """Wait for the next attempt, after one that is over."""
+        """Wait for the next attempt after a failed one."""
         self._may_have_run = self.may_have_run
         self._may_run = False
         self.phase = stream_states.Phase.QUEUED
-        self._host.watch_limit(self)
+        self._host.schedule_check(self)
 
-    def take_connection(self, sock: socket.socket) -> None:
-        """Read the engine's answer from a connection."""
+    def attach_connection(self, sock: socket.socket) -> None:
+        """Read the engine's response from a connection."""
         if self.attempt is None:
             sock.close()
             return
@@ -171,8 +171,8 @@
             self._may_run = False
         self._fail_attempt(contract.AttemptFailure.CONNECT_FAILED, detail)
 
-    def limit_s(self) -> float:
-        """Return the monotonic time at which the stream must be looked at again."""
+    def next_check_s(self) -> float:
+        """Return the monotonic time at which the stream's next limit expires."""
         online = self.request.service.model.online
         slow_s = self._caller.progress_s + self._host.settings.slow_caller_timeout_s
         deadline_s = self.request.deadline_s
@@ -188,9 +188,9 @@
         return min(deadline_s, self._progress_s + wait_s)
 
     def check_limits(self) -> None:
-        """End or fail what has taken too long."""
+        """End the stream or fail its attempt if a time limit has expired."""
         now_s = self._host.now_s
-        if self.phase is stream_states.Phase.ENDED or now_s < self.limit_s():
+        if self.phase is stream_states.Phase.ENDED or now_s < self.next_check_s():
             return
         if self.phase is stream_states.Phase.FLUSHING:
             self._finish()
@@ -212,7 +212,7 @@
         self._fail_attempt(failure, "no event in time")
 
     def fail(self, error: errors.ApiError, outcome: stream_states.Outcome) -> None:
-        """Answer with an error and give up the attempt."""
+        """Send an error to the caller and cancel the attempt."""
         if self.may_have_run and error.run_state is types.RunState.NOT_RUN:
             error.run_state = types.RunState.MAY_HAVE_RUN
         self._abandon_attempt()
@@ -220,7 +220,7 @@
         self._end(outcome, error.code)
 
     def stop(self) -> None:
-        """Break the answer because the daemon ends."""
+        """Break off the response because the daemon is stopping."""
         if self.phase is not stream_states.Phase.FLUSHING:
             error = errors.Unavailable("the daemon is stopping", retry_after_s=1.0)
             self.fail(error, stream_states.Outcome.STOPPED)
@@ -228,28 +228,28 @@
 
     def _start_call(self, is_resuming: bool) -> None:
         self._is_resuming = is_resuming
-        self.ticket = next(_tickets)
+        self.call_number = next(_call_numbers)
         self.phase = stream_states.Phase.RUNNING
         self._progress_s = self._host.now_s
-        self._host.watch_limit(self)
+        self._host.schedule_check(self)
 
     def take_break(self, failure: contract.AttemptFailure, detail: str) -> None:
         """Handle the end of a connection to the engine."""
         self._fail_attempt(failure, detail)
 
     def take_refusal(self, reply: reader.Reply, body: bytes) -> None:
-        """Handle an answer of the engine that is not a stream."""
+        """Handle a response of the engine that is not a stream."""
         detail = f"status {reply.status}"
         if self._is_resuming:
             failure = contract.AttemptFailure.TARGET_ERROR
             self._fail_attempt(failure, f"resume answered with {detail}")
             return
-        is_not_run = reply.says_not_run or reply.status == _NOT_LOADED_STATUS
+        is_not_run = reply.reports_not_run or reply.status == _NOT_LOADED_STATUS
         if is_not_run:
             self._may_run = False
         is_unwritten = self.delivery.caller_offset < 0
         if reply.status in _FINAL_STATUSES and is_unwritten:
-            self._may_run = reply.says_run
+            self._may_run = reply.reports_run
             state = types.RunState.NOT_RUN
             if self.may_have_run:
                 state = types.RunState.MAY_HAVE_RUN
@@ -265,7 +265,7 @@
         self._fail_attempt(failure, detail)
 
     def take_events(self, events: list[sse.Event], now_s: float) -> None:
-        """Pass on events in the order of their offsets."""
+        """Forward events in the order of their offsets."""
         for offset, payload in events:
             if payload == sse.DONE:
                 self._complete(now_s)
@@ -278,10 +278,10 @@
                 self._fail_at_event(number, payload)
                 return
             if self.received < 0:
-                self._note_first_event(now_s)
+                self._record_first_event(now_s)
             self.received = number
             if not self.delivery.take(number, payload):
-                self._fail_rerun()
+                self._fail_diverged_run()
                 return
         self._progress_s = now_s
         self.delivery.forward(now_s)
@@ -296,18 +296,18 @@
         detail = payload[:200].decode(errors="replace")
         self._fail_attempt(contract.AttemptFailure.TARGET_ERROR, detail)
 
-    def _note_first_event(self, now_s: float) -> None:
+    def _record_first_event(self, now_s: float) -> None:
         if self.first_event_s is None:
             self.first_event_s = now_s
         self._host.record_first_event(self)
         self._progress_s = now_s
         self.received = 0
-        self._host.watch_limit(self)
+        self._host.schedule_check(self)
 
     def _complete(self, now_s: float) -> None:
-        """End the answer; the engine has sent ``[DONE]`` after the last offset."""
+        """End the response after the engine has sent ``[DONE]``."""
         if self.received < self.delivery.caller_offset:
-            self._fail_rerun()
+            self._fail_diverged_run()
             return
         self._close_engine()
         try:
@@ -318,7 +318,7 @@
             return
         self._end(stream_states.Outcome.COMPLETED, "")
 
-    def _fail_rerun(self) -> None:
+    def _fail_diverged_run(self) -> None:
         error = errors.TargetFailed(
             "the answer was interrupted and another run of it differs",
             run_state=types.RunState.MAY_HAVE_RUN,
@@ -337,7 +337,7 @@
         is_full = self._caller.pending_bytes > self._host.settings.high_watermark_bytes
         if is_full and self._engine is not None:
             self._engine.pause()
-            self._host.watch_limit(self)
+            self._host.schedule_check(self)
 
     def _on_caller_left(self, detail: str) -> None:
         if self.outcome is None:
@@ -361,20 +361,20 @@
         self._host.fail_attempt(self, failure, detail)
 
     def _abandon_attempt(self) -> None:
-        """Stop the attempt at the engine."""
+        """Cancel the attempt at the engine."""
         self._close_engine()
         if self.may_be_running and self.attempt is not None:
             self._host.cancel_attempt(self.attempt)
 
     def _close_engine(self) -> None:
-        """Close the connection to the engine and ignore one that is being opened."""
-        self.ticket = 0
+        """Close the connection to the engine; ignore one that is being opened."""
+        self.call_number = 0
         if self._engine is not None:
             self._engine.close()
             self._engine = None
 
     def _end(self, outcome: stream_states.Outcome, detail: str) -> None:
-        """Note the outcome and wait until the caller has taken the answer."""
+        """Record the outcome and flush what the caller has not read yet."""
         if self.outcome is None:
             self.outcome, self.detail = outcome, detail
         if self._caller.is_open and self._caller.pending_bytes:
@@ -383,7 +383,7 @@
             self._flush_until_s = max(
                 self.request.deadline_s, self._host.now_s + slow_s
             )
-            self._host.watch_limit(self)
+            self._host.schedule_check(self)
             return
         self._finish()
 
--- a/src/endivevane/online/stream_states.py
+++ b/src/endivevane/online/stream_states.py
@@ -1,4 +1,4 @@
-"""Where a relayed request is, and how it ended."""
+"""Phases and outcomes of relayed requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Phase(enum.Enum):
-    """What a stream waits for."""
+    """Phase of a stream."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -15,7 +15,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a request ended; a label of the metrics."""
+    """How a request ended; used as a metric label."""
 
     COMPLETED = "completed"
     REJECTED = "rejected"
--- a/src/endivevane/online/upstream.py
+++ b/src/endivevane/online/upstream.py
@@ -1,4 +1,4 @@
-"""Blocking calls to engines, run by executors on behalf of the relay."""
+"""Blocking calls to engines, run on thread pools for the relay."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from endivevane.online import contract, handover, messages
 
 CALL_PATH = "/v1/chat/completions"
-# Request line and headers of a call to an engine.
+# Approximate size of request line and headers of a call to an engine.
 HEAD_BYTES = 300
 
 
@@ -24,15 +24,15 @@
 class UpstreamSettings:
     """Limits of the calls to engines.
 
-    :param connect_timeout_s: limit for the TCP handshake
-    :param send_timeout_s: limit for each part of the request to be taken
+    :param connect_timeout_s: timeout of the TCP handshake
+    :param send_timeout_s: timeout of each send
     :param user_timeout_s: how long sent data may stay unacknowledged
     :param open_threads: threads that open connections; each is busy for a round trip,
-        or for the connect timeout when a VM has vanished
-    :param resume_threads: threads for new connections of broken streams; the streams
-        of a lost VM must not hold up new requests
-    :param unreachable_s: after a call could not connect, resumes at the same address
-        fail at once for this time and cancellations are left out; the engine drops
+        or for the connect timeout if the VM is gone
+    :param resume_threads: threads that reconnect broken streams, separate so that the
+        streams of a lost VM do not delay new requests
+    :param unreachable_s: time after a failed connect during which resumes at the
+        address fail immediately and cancellations are skipped; the engine drops
         streams without a connection itself
     """
 
@@ -51,7 +51,7 @@
     body = dict(request.body)
     body["stream"] = True
     if not request.is_streamed:
-        # An unstreamed answer always has its usage.
+        # An unstreamed response always includes its usage.
         body["stream_options"] = {"include_usage": True}
     return orjson.dumps(body)
 
@@ -59,11 +59,10 @@
 class Upstream:
     """Opens, resumes and cancels streams at engines.
 
-    Threads of an executor connect and send. They do not wait for the response,
-    because an engine that accepts connections and stays silent would hold all of
-    them; the relay's thread reads the response head like the rest.
+    Executor threads connect and send. They do not wait for the response, because an
+    unresponsive engine would block all of them; the relay's thread reads the response.
 
-    :param post: takes the outcomes, thread-safe
+    :param post: receives the outcomes; thread-safe
     """
 
     def __init__(
@@ -83,12 +82,12 @@
             settings.cancel_threads, thread_name_prefix="engine-cancel"
         )
 
-    def open(self, ticket: int, attempt: contract.Attempt, body: bytes) -> None:
-        """Start an attempt, with a hand-over of its prompt's cache if it has one."""
-        if not self._handover.start(ticket, attempt, body):
-            self.send(ticket, attempt, body)
+    def open(self, call_number: int, attempt: contract.Attempt, body: bytes) -> None:
+        """Start an attempt, after a handover of the prompt's KV cache if it has one."""
+        if not self._handover.start(call_number, attempt, body):
+            self.send(call_number, attempt, body)
 
-    def send(self, ticket: int, attempt: contract.Attempt, body: bytes) -> None:
+    def send(self, call_number: int, attempt: contract.Attempt, body: bytes) -> None:
         """Send an attempt to its target."""
         headers = {
             "Content-Type": "application/json",
@@ -98,9 +97,11 @@
             "X-Endivevane-Class": "online",
         }
         call = ("POST", CALL_PATH)
-        self._openers.submit(self._send, ticket, attempt, call, body, headers)
+        self._openers.submit(self._send, call_number, attempt, call, body, headers)
 
-    def resume(self, ticket: int, attempt: contract.Attempt, after_offset: int) -> None:
+    def resume(
+        self, call_number: int, attempt: contract.Attempt, after_offset: int
+    ) -> None:
         """Continue an attempt on a new connection.
 
         :param after_offset: last offset received, -1 for none
@@ -109,7 +110,7 @@
         if after_offset >= 0:
             headers["Last-Event-ID"] = str(after_offset)
         call = ("GET", f"/v1/streams/{attempt.attempt_id}")
-        self._resumers.submit(self._resume, ticket, attempt, call, headers)
+        self._resumers.submit(self._resume, call_number, attempt, call, headers)
 
     def cancel(self, address: types.Address, attempt_id: str, tries: int = 1) -> None:
         """Cancel an attempt at its engine.
@@ -119,7 +120,7 @@
         self._cancellers.submit(self._cancel, address, attempt_id, tries)
 
     def stop(self) -> None:
-        """End the threads after the calls that have begun."""
+        """Stop the threads after the running calls."""
         self._handover.stop()
         self._openers.shutdown(wait=True, cancel_futures=True)
         self._resumers.shutdown(wait=True, cancel_futures=True)
@@ -128,10 +129,10 @@
     def _is_unreachable(self, address: types.Address) -> bool:
         return time.monotonic() < self._unreachable_until_s.get(address, 0.0)
 
-    def _note_unreachable(self, address: types.Address) -> None:
-        """Remember a failed connect.
+    def _record_unreachable(self, address: types.Address) -> None:
+        """Record a failed connect.
 
-        A lost VM may have had hundreds of streams, and each further call would hold a
+        A lost VM may have had hundreds of streams, and each further call would block a
         thread for the connect timeout.
         """
         until_s = time.monotonic() + self._settings.unreachable_s
@@ -139,20 +140,20 @@
 
     def _resume(
         self,
-        ticket: int,
+        call_number: int,
         attempt: contract.Attempt,
         call: tuple[str, str],
         headers: abc.Mapping[str, str],
     ) -> None:
         if self._is_unreachable(attempt.target.address):
             detail = "an earlier call could not connect"
-            self._post(messages.OpenFailed(attempt, ticket, False, detail))
+            self._post(messages.OpenFailed(attempt, call_number, False, detail))
             return
-        self._send(ticket, attempt, call, None, headers)
+        self._send(call_number, attempt, call, None, headers)
 
     def _send(
         self,
-        ticket: int,
+        call_number: int,
         attempt: contract.Attempt,
         call: tuple[str, str],
         body: bytes | None,
@@ -166,19 +167,19 @@
                 settings.user_timeout_s,
             )
         except OSError as error:
-            self._note_unreachable(attempt.target.address)
-            self._post(messages.OpenFailed(attempt, ticket, False, str(error)))
+            self._record_unreachable(attempt.target.address)
+            self._post(messages.OpenFailed(attempt, call_number, False, str(error)))
             return
         try:
             connection.sock.settimeout(settings.send_timeout_s)
             connection.request(*call, body, {**headers, "Connection": "close"})
         except (OSError, http.client.HTTPException) as error:
             connection.close()
-            self._post(messages.OpenFailed(attempt, ticket, True, str(error)))
+            self._post(messages.OpenFailed(attempt, call_number, True, str(error)))
             return
         sock = connection.sock
         sock.setblocking(False)
-        self._post(messages.Opened(attempt, ticket, sock))
+        self._post(messages.Opened(attempt, call_number, sock))
 
     def _cancel(self, address: types.Address, attempt_id: str, tries: int) -> None:
         settings = self._settings
@@ -194,7 +195,7 @@
         outcome = pool.request("DELETE", f"/v1/streams/{attempt_id}")
         if isinstance(outcome, result.Err):
             if outcome.err_value.stage is http_pool.Stage.CONNECT:
-                self._note_unreachable(address)
+                self._record_unreachable(address)
             detail = outcome.err_value.format_message()
             logs.info("cancel_failed", attempt_id=attempt_id, error=detail)
             return
--- a/src/endivevane/online/use_notices.py
+++ b/src/endivevane/online/use_notices.py
@@ -1,8 +1,8 @@
-"""Tells the batch senders how many online requests this daemon has at a target.
+"""Notices to batch senders of the online requests in flight at a target.
 
-Load reports are about a second old, while online requests come and go within that
-time. At a target that is nearly full, the batch sender therefore gets each change of
-the count directly, so that it can free a slot before the engine makes the request wait.
+Load reports are about a second old, while online requests start and end within that
+time. The batch sender of a nearly full target is therefore told of each change, so that
+it can free a slot before the engine queues the request.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from endivevane.coordination import clock
 from endivevane.online import contract, target_state
 
-# A target with fewer free slots than this share counts as nearly full.
+# A target with at most this share of free slots counts as nearly full.
 _NEARLY_FULL_SHARE = 0.25
 _MIN_FREE_SLOTS = 2
-# Falling counts may wait this long, so that several ends make one notice.
+# Delay of notices of decreased counts, so that several ends make one notice.
 _FALL_DELAY_S = 0.02
-# Notices go on for this long after the target was last nearly full.
+# Notices continue for this long after the target was last nearly full.
 _WATCH_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Watched:
-    """A target whose batch sender is being told.
+    """A target whose batch sender gets notices.
 
-    :param until_s: end of the notices
-    :param due_s: when the next notice goes out; ``None`` when nothing has changed
+    :param until_s: time when the notices end
+    :param due_s: time of the next notice, ``None`` if nothing has changed
     """
 
     target: snapshot.Target
@@ -37,14 +37,14 @@
 
 
 class UseNotices:
-    """Collects the notices that are due; the relay's thread alone uses it."""
+    """Collects due notices; used by the relay's thread only."""
 
     def __init__(self, notices_clock: clock.Clock) -> None:
         self._clock = notices_clock
         self._watched: dict[str, _Watched] = {}
 
-    def note(self, state: target_state.TargetState) -> None:
-        """Take in that the requests in flight at a target have changed."""
+    def record_change(self, state: target_state.TargetState) -> None:
+        """Record that the requests in flight at a target have changed."""
         now_s = self._clock.monotonic_s()
         name = state.target.name
         in_flight = len(state.in_flight)
@@ -80,7 +80,7 @@
 
 
 def is_nearly_full(state: target_state.TargetState) -> bool:
-    """Tell whether a target has few free slots, as far as is known."""
+    """Return whether a target has few free slots by its estimated load."""
     slots = state.target.slots
     free = slots - state.estimate_load()
     return free <= max(_MIN_FREE_SLOTS, _NEARLY_FULL_SHARE * slots)
