--- a/features/quarantine.feature
+++ b/features/quarantine.feature
@@ -1,11 +1,11 @@
-Feature: A request that crashes targets is set aside at all daemons
+Feature: A request that crashes targets is quarantined at all daemons
 
-  At most two engines are lost to one request, counted from the lines that the engines
-  write when they crash.
+  One request crashes at most two engines, counted by the log lines that engines write
+  when they crash.
 
   Scenario Outline: A crashing request is sent to all daemons at once, again, and as a batch item
-    Guards against daemons that each lose engines to the same request before they hear of
-    each other, and against a quarantine that a restarted daemon or batch does not know.
+    Guards against daemons that each lose engines to the same request before they receive
+    each other's reports, and against a quarantine unknown to batch or a restarted daemon.
     Given 3 daemons and 6 engines in <zones>, which crash on a request
     When the crashing request is sent to all daemons at the same moment
     Then at most 2 engines have crashed
@@ -24,7 +24,7 @@
       | two regions |
 
   Scenario: A batch item crashes engines before anybody sends it online
-    Guards against deaths under batch items that online traffic does not learn of.
+    Guards against crashes caused by batch items that are unknown to online traffic.
     Given 3 daemons and 6 engines in one region, which crash on a request
     And engines that crash are started again after a second
     When a job with the crashing request among 40 items is run
@@ -42,9 +42,9 @@
     Then at most 2 engines have crashed
     And all daemons answer healthy requests
 
-  Scenario: Rows of single deaths add up, and ended rows go away
-    Guards against daemons that did not hear of each other, and rows that pile up.
-    Given rows of deaths in a store
-    When two daemons write one death each of different targets
+  Scenario: Rows of single crashes add up, and expired rows are removed
+    Guards against crashes reported by daemons without contact, and rows that accumulate.
+    Given rows of crashes in a store
+    When two daemons write one crash each of different targets
     Then a read delivers a quarantine, and after its end nothing
-    And the ended row is overwritten by a new death and removed after its end
+    And the expired row is overwritten by a new crash and removed after its end
--- a/features/relay_fuzz.feature
+++ b/features/relay_fuzz.feature
@@ -1,10 +1,10 @@
-Feature: The relay keeps its promises whatever fails in whatever order
+Feature: The relay keeps its guarantees under failures in any order
 
   Scenario: Fuzzing of the relay finds no fault
     When the relay is fuzzed with 400 examples of 40 steps
     Then the fuzzing of the relay ran at least 3000 steps without a fault
 
-  Scenario Outline: The fuzzing finds a relay that is broken
+  Scenario Outline: The fuzzing detects a broken relay
     When a relay that <fault> is fuzzed
     Then the fuzzing of the relay reports "<text>"
 
--- a/features/steps/decisions_failure_steps.py
+++ b/features/steps/decisions_failure_steps.py
@@ -8,7 +8,7 @@
 FAILURE = bench_steps.FAILURE
 
 
-@when("its connection goes silent after offset {offset:d}")
+@when("its connection times out after offset {offset:d}")
 def step_silent(context, offset):
     context.attempt = context.decisions[-1].attempt
     context.bench.scheduler.record_first_token(context.attempt)
@@ -22,8 +22,8 @@
     assert context.decision == contract.Resume(context.attempt, offset)
 
 
-@then("the target of the request still gets work")
-def step_check_not_blamed(context):
+@then("the target of the request still gets requests")
+def step_check_not_avoided(context):
     name = context.attempt.target.name
     sends = [context.bench.submit().attempt.target.name for _ in range(8)]
     assert name in sends, sends
@@ -43,12 +43,12 @@
 @then('it is refused with status {status:d} and "{state}"')
 def step_check_decision(context, status, state):
     bench_steps.check_refusal(context.decision, status, state)
-    # The next request must not meet a target that is avoided after the death.
+    # The next request must not meet a target that is avoided after the failure.
     context.bench.clock.advance(1.0)
 
 
 @then("it is sent to the other target")
-def step_check_moved(context):
+def step_check_other_target(context):
     assert isinstance(context.decision, contract.Send), context.decision
     assert context.decision.attempt.target != context.attempt.target
 
@@ -57,7 +57,7 @@
 def step_check_states(context):
     for row in context.table:
         bench = scheduling.Bench(context.bench.snapshot)
-        # Enough requests that the retry budget is not the reason for the end.
+        # Enough requests that the retry budget does not deny the retries.
         for _ in range(100):
             sent = bench.submit()
             bench.scheduler.finish(sent.attempt, contract.AttemptOutcome.COMPLETED)
@@ -108,41 +108,43 @@
         context.running.append(bench.submit().attempt)
 
 
-@when("half of the targets die at once")
-def step_half_dies(context):
-    """No token was delivered yet, so each request may run again."""
-    context.dead = {f"t{number}" for number in range(1, 5)}
-    victims = [item for item in context.running if item.target.name in context.dead]
+@when("half of the targets are lost at once")
+def step_lose_half(context):
+    """No token was delivered yet, so each request may be retried."""
+    context.lost_targets = {f"t{number}" for number in range(1, 5)}
+    victims = [
+        item for item in context.running if item.target.name in context.lost_targets
+    ]
     assert len(victims) >= 10, len(victims)
     scheduler = context.bench.scheduler
     decisions = []
     for victim in victims:
         assert isinstance(scheduler.retry(victim, FAILURE.BROKEN, -1), contract.Resume)
         decisions.append(scheduler.retry(victim, FAILURE.CONNECT_FAILED, -1))
-    context.moved = []
+    context.retried = []
     while decisions:
         waiting = 0
         for first in decisions:
             decision = first
             while isinstance(decision, contract.Send) and (
-                decision.attempt.target.name in context.dead
+                decision.attempt.target.name in context.lost_targets
             ):
                 attempt = decision.attempt
                 decision = scheduler.retry(attempt, FAILURE.CONNECT_FAILED, -1)
             if isinstance(decision, contract.Hold):
                 waiting += 1
             else:
-                context.moved.append(decision)
+                context.retried.append(decision)
         context.bench.clock.advance(0.5)
         decisions = scheduler.poll()
         assert len(decisions) == waiting, "a held request was forgotten"
-    assert len(context.moved) == len(victims)
+    assert len(context.retried) == len(victims)
 
 
-@then("every request that ran there is sent to a living target")
-def step_check_all_moved(context):
-    lost = [item.error for item in context.moved if isinstance(item, contract.Refuse)]
-    assert not lost, f"{len(lost)} of {len(context.moved)}: {lost[0]}"
+@then("every request that ran there is sent to a target that is alive")
+def step_check_all_retried(context):
+    lost = [item.error for item in context.retried if isinstance(item, contract.Refuse)]
+    assert not lost, f"{len(lost)} of {len(context.retried)}: {lost[0]}"
 
 
 @when('{count:d} requests in a row fail at "{name}"')
--- a/features/steps/decisions_parts_steps.py
+++ b/features/steps/decisions_parts_steps.py
@@ -55,7 +55,7 @@
     context.index = prefixes.PrefixIndex(context.settings, context.clock)
 
 
-@then("a late eviction does not remove a prefix that was sent just now")
+@then("a delayed eviction does not remove a prefix that was just sent")
 def step_check_late(context):
     index = context.index
     index.record_send((1, 2, 3))
@@ -67,25 +67,25 @@
     assert index.match((1, 2, 3)) == 2
 
 
-@then("a gap in the events shortens the life of older prefixes")
+@then("a gap in the events shortens the lifetime of older prefixes")
 def step_check_gap(context):
     index = context.index
     index.apply_events([{"n": 9, "kind": "stored", "prefix_hashes": [7]}])
     context.clock.advance(context.settings.gap_lifetime_s + 1)
-    assert index.match((1, 2)) == 0, "prefixes from before the gap live on"
+    assert index.match((1, 2)) == 0, "prefixes from before the gap are still cached"
     assert index.match((7,)) == 1
 
 
-@then("the index stays within its bound")
+@then("the index stays within its size limit")
 def step_check_bound(context):
     for number in range(100):
         context.index.record_send(range(number * 10, number * 10 + 10))
     assert len(context.index) <= 50
 
 
-@then("event numbers that go back mean an empty cache")
+@then("decreasing event numbers mean an empty cache")
 def step_check_restart(context):
-    """A restarted target counts its events from 1 again."""
+    """A restarted target numbers its events from 1 again."""
     context.index.record_send((41, 42))
     context.clock.advance(5.0)
     context.index.apply_events([{"n": 1, "kind": "stored", "prefix_hashes": [51]}])
@@ -113,7 +113,7 @@
 
 @when("each of them has more work than the target can take")
 def step_overload(context):
-    # A quiet start shows each daemon the latency without queueing.
+    # A phase without load gives each daemon the latency without queueing.
     _measure(context, 60, has_work=False)
     _measure(context, 2000, has_work=True)
 
@@ -159,7 +159,7 @@
     assert abs(ratio - 1) < percent / 100, ratio
 
 
-@then("adding a member changes at most one place")
+@then("adding a member changes at most one entry")
 def step_check_addition(context):
     grown = {**context.members, "new": 1.0}
     for number in range(100):
@@ -174,7 +174,7 @@
     "keep at most {kept:d}"
 )
 def step_check_coverage(context, daemons, targets, unused, kept):
-    """With 4 subsets a target on average, 2% are in none; 5% allow for chance."""
+    """With 4 subsets per target on average, 2% are in none; 5% is the tolerance."""
     names = [scheduling.make_target(f"t{number}") for number in range(targets)]
     service = scheduling.make_snapshot(names).services["answers"]
     covered = set()
--- a/features/steps/decisions_quarantine_steps.py
+++ b/features/steps/decisions_quarantine_steps.py
@@ -5,23 +5,23 @@
 from features.support import bench_steps, scheduling
 
 
-@when('a request with fingerprint "{fingerprint}" kills each target that runs it')
-def step_poison(context, fingerprint):
-    context.killed = []
+@when('a request with fingerprint "{fingerprint}" crashes each target that runs it')
+def step_crash(context, fingerprint):
+    context.crashed = []
     decision = context.bench.submit(fingerprint=fingerprint)
     while isinstance(decision, contract.Send):
-        context.killed.append(decision.attempt.target.name)
+        context.crashed.append(decision.attempt.target.name)
         context.bench.clock.advance(3.0)
         decision = bench_steps.kill_target_of(context.bench, decision.attempt)
     context.decision = decision
 
 
 @then(
-    "it has killed {count:d} targets and is refused with status {status:d} and "
+    "it has crashed {count:d} targets and is refused with status {status:d} and "
     '"{state}"'
 )
-def step_check_killed(context, count, status, state):
-    assert len(set(context.killed)) == len(context.killed) == count, context.killed
+def step_check_crashed(context, count, status, state):
+    assert len(set(context.crashed)) == len(context.crashed) == count, context.crashed
     bench_steps.check_refusal(context.decision, status, state)
 
 
@@ -53,31 +53,31 @@
     assert isinstance(decision, contract.Send), decision
 
 
-@when("{count:d} innocent requests run beside a poison at the same target")
-def step_passengers(context, count):
+@when("{count:d} other requests run alongside a crashing one at the same target")
+def step_run_alongside(context, count):
     bench = context.bench
     prefix = tuple(range(10))
     first = bench.submit(fingerprint="poison", prefix_hashes=prefix)
-    context.poison = first.attempt
-    context.innocent = [
+    context.crashing = first.attempt
+    context.others = [
         bench.submit(fingerprint=f"innocent-{number}", prefix_hashes=prefix).attempt
         for number in range(count)
     ]
-    names = {item.target.name for item in context.innocent}
-    assert names == {context.poison.target.name}, names
+    names = {item.target.name for item in context.others}
+    assert names == {context.crashing.target.name}, names
 
 
-@when("the poison kills each target that runs it")
-def step_poison_kills(context):
-    """Whatever runs at a target that dies is moved; the poison kills again."""
+@when("the crashing request crashes each target that runs it")
+def step_crash_all(context):
+    """Retry all requests of each crashed target; the crashing one crashes another."""
     bench = context.bench
-    running = [context.poison, *context.innocent]
+    running = [context.crashing, *context.others]
     for _ in range(2):
-        dead = next(
+        crashed_target = next(
             item.target.name for item in running if item.request.fingerprint == "poison"
         )
-        victims = [item for item in running if item.target.name == dead]
-        running = [item for item in running if item.target.name != dead]
+        victims = [item for item in running if item.target.name == crashed_target]
+        running = [item for item in running if item.target.name != crashed_target]
         for victim in victims:
             decision = bench_steps.kill_target_of(bench, victim)
             if isinstance(decision, contract.Send):
@@ -87,9 +87,9 @@
         bench.clock.advance(3.0)
 
 
-@then("only the poison is quarantined")
-def step_check_only_poison(context):
-    for attempt in context.innocent:
+@then("only the crashing request is quarantined")
+def step_check_only_crashing(context):
+    for attempt in context.others:
         decision = context.bench.submit(fingerprint=attempt.request.fingerprint)
         assert not isinstance(decision, contract.Refuse), decision.error
     refusal = context.bench.submit(fingerprint="poison")
@@ -112,16 +112,16 @@
             receiver.receive(*entry)
 
 
-@when("a fingerprint kills one target that each of them watches")
-def step_two_deaths(context):
+@when("a fingerprint crashes one target that each of them observes")
+def step_two_crashes(context):
     for index, item in enumerate(context.pair):
         item.record_death("shared", f"t{index}")
         context.clock.advance(3.0)
     _exchange(context)
 
 
-@when("a fingerprint kills one target that each of them watches at the same moment")
-def step_two_deaths_at_once(context):
+@when("a fingerprint crashes one target that each of them observes at the same moment")
+def step_two_crashes_at_once(context):
     for index, item in enumerate(context.pair):
         item.record_death("shared", f"t{index}")
     _exchange(context)
@@ -132,7 +132,7 @@
     assert all(item.remaining_s("shared") > 0 for item in context.pair)
 
 
-@then("echoes of a single death quarantine nothing")
+@then("repeated reports of a single crash quarantine nothing")
 def step_check_echo(context):
     context.pair[0].record_death("single", "t1")
     _exchange(context)
--- a/features/steps/decisions_steps.py
+++ b/features/steps/decisions_steps.py
@@ -5,7 +5,7 @@
 from endivevane.online import contract, target_state
 from features.support import bench_steps, scheduling
 
-# Nine daemons share 60% of 15 Mbit/s.
+# One of nine equal shares of 60% of 15 Mbit/s.
 _LINK_SHARE_BYTES_S = 15e6 / 8 * 0.6 / 9
 
 
@@ -34,8 +34,8 @@
 
 
 @given("a scheduling bench with {count:d} targets of {slots:d} slots and no avoidance")
-def step_bench_stubborn(context, count, slots):
-    """Avoidance would lower the sends; here the budget alone has to hold them."""
+def step_bench_without_avoidance(context, count, slots):
+    """Without avoidance, only the retry budget limits the sends."""
     bench_steps.make_bench(
         context, bench_steps.make_targets(count, slots), {"max_attempts": 10}
     )
@@ -47,8 +47,8 @@
     "a scheduling bench with {count:d} targets of {slots:d} slots and a large retry "
     "budget"
 )
-def step_bench_generous(context, count, slots):
-    """Many completed requests let the budget allow a retry for each victim."""
+def step_bench_large_budget(context, count, slots):
+    """Many completed requests fill the retry budget for each affected request."""
     bench_steps.make_bench(context, bench_steps.make_targets(count, slots))
     for _ in range(200):
         decision = context.bench.submit()
@@ -88,13 +88,13 @@
         context.decisions.append(decision)
 
 
-@when('target "{name}" of the bench is leaving')
-def step_leave(context, name):
+@when('target "{name}" of the bench is draining')
+def step_drain(context, name):
     context.bench.scheduler.set_leaving({name})
 
 
-@when('the targets "{names}" of the bench are leaving')
-def step_leave_many(context, names):
+@when('the targets "{names}" of the bench are draining')
+def step_drain_many(context, names):
     context.bench.scheduler.set_leaving(set(names.split()))
 
 
@@ -143,7 +143,7 @@
 
 @then("the refusals came {seconds:d} seconds after the loss")
 def step_check_at_once(context, seconds):
-    """The clock has not moved since the targets were declared leaving."""
+    """The clock has not advanced since the targets began to drain."""
     for refusal in bench_steps.list_refusals(context.polled):
         waited_s = context.bench.clock.monotonic_s() - refusal.request.received_s
         assert waited_s == seconds, waited_s
@@ -166,8 +166,8 @@
     assert len(used) == count, len(used)
 
 
-@then('the batch sender of "{name}" is told of {count:d} online request in flight')
-@then('the batch sender of "{name}" is told of {count:d} online requests in flight')
+@then('the batch sender of "{name}" is notified of {count:d} online request in flight')
+@then('the batch sender of "{name}" is notified of {count:d} online requests in flight')
 def step_check_notice(context, name, count):
     notices = context.bench.scheduler.take_use_notices()
     told = [(item.target.name, item.in_flight) for item in notices]
@@ -176,7 +176,7 @@
 
 @then("the bench asks for no slots")
 def step_check_no_yield(context):
-    """Slots are asked for when a request has to wait."""
+    """Slots are requested only when a request has to wait."""
     assert not context.bench.scheduler.take_yield_requests()
 
 
@@ -238,7 +238,7 @@
     "after 1 second"
 )
 def step_spill(context, count, size, seconds):
-    """Half of an answer passes when it begins, and the rest when it ends."""
+    """Half of a response is transferred at its start, the rest at its end."""
     bench = context.bench
     context.spilled = 0
     context.answer_bytes = size
@@ -273,7 +273,7 @@
     "used"
 )
 def step_check_link(context, seconds):
-    """The burst is 2 s and one request."""
+    """The burst allowance is 2 s of the rate plus one request."""
     allowed_bytes = (seconds + 2) * _LINK_SHARE_BYTES_S + context.answer_bytes
     print(f"passed {context.passed_bytes} of at most {allowed_bytes:.0f} bytes")
     assert context.passed_bytes <= allowed_bytes, context.passed_bytes
--- a/features/steps/handover_steps.py
+++ b/features/steps/handover_steps.py
@@ -19,12 +19,12 @@
 
 
 @given(
-    "a scheduler with 2 decode engines and a prefill engine in its region, hand-over "
+    "a scheduler with 2 decode engines and a prefill engine in its region, handover "
     "from {size:d} bytes"
 )
 def step_make_scheduler(context, size):
     targets = [scheduling.make_target(name, slots=16) for name in ("t1", "t2", "t3")]
-    # The prefill engine of the other region is not to be used.
+    # The prefill engine of the other region must not be used.
     targets.append(scheduling.make_target("t4", zone="zone-c", slots=16))
     current = scheduling.make_snapshot(
         targets, service={"roles": {"handover_min_prompt_bytes": size}}
@@ -52,7 +52,7 @@
     assert _submit(context, size, seed=1).prefill is None
 
 
-@then("the prompt of {size:d} bytes once more goes to a decode engine directly")
+@then("the prompt of {size:d} bytes sent again goes to a decode engine directly")
 def step_check_cached(context, size):
     assert _submit(context, size).prefill is None
 
@@ -79,7 +79,7 @@
 
 
 @given(
-    "a fleet of 1 daemon and 4 engines of which one is for prefill, hand-over from "
+    "a fleet of 1 daemon and 4 engines of which one is for prefill, handover from "
     "{size:d} bytes"
 )
 def step_start_fleet(context, size):
@@ -133,8 +133,8 @@
     print(f"elapsed_ms={elapsed_s * 1000:.0f}")
 
 
-@when("each engine dies of a prompt of {size:d} bytes that is sent {count:d} times")
-def step_send_poison(context, size, count):
+@when("each engine crashes on a prompt of {size:d} bytes that is sent {count:d} times")
+def step_send_crashing(context, size, count):
     for item in context.fleet.engines:
         item.set_faults(crash_on="poison")
     context.statuses = [
@@ -149,14 +149,14 @@
 
 
 @then(
-    "it was never answered and {deaths:d} engines have died, the prefill engine among "
-    "them"
+    "it was never answered and {deaths:d} engines have crashed, the prefill engine "
+    "among them"
 )
-def step_check_deaths(context, deaths):
-    died = [item for item in context.fleet.engines if not item.process.is_running]
-    print(f"statuses={context.statuses} died={len(died)}")
+def step_check_crashes(context, deaths):
+    crashed = [item for item in context.fleet.engines if not item.process.is_running]
+    print(f"statuses={context.statuses} died={len(crashed)}")
     assert 200 not in context.statuses, context.statuses
-    assert len(died) == deaths and context.prefill[0] in died, died
+    assert len(crashed) == deaths and context.prefill[0] in crashed, crashed
 
 
 def _list_runs(engines):
@@ -173,20 +173,20 @@
 
 @when("the {engine} fails at the {step} of the next prompt")
 def step_set_fault(context, engine, step):
-    # Only the engine that gets the hand-over dies, as nothing is imported elsewhere.
+    # Only the engine that receives the handover crashes; no other imports anything.
     engines = context.prefill if engine == "prefill engine" else context.others
     for item in engines:
         faults = {"silent": True} if step == "silence" else {"crash_on_kv": step}
         item.set_faults(**faults)
-    context.doomed = engines
+    context.faulty = engines
 
 
-@then("exactly one engine has finished it and {deaths:d} died")
+@then("exactly one engine has finished it and {deaths:d} crashed")
 def step_check_once(context, deaths):
     alive = [item for item in context.others if item.process.is_running]
-    died = [item for item in context.doomed if not item.process.is_running]
+    crashed = [item for item in context.faulty if not item.process.is_running]
     digest = completions.digest_messages(engine_caller.make_messages(context.prompt))
     runs = [run for run in _list_runs(alive) if run["prompt_sha256"] == digest]
-    print(f"alive={len(alive)} died={len(died)} runs={len(runs)}")
-    assert len(died) == deaths, died
+    print(f"alive={len(alive)} died={len(crashed)} runs={len(runs)}")
+    assert len(crashed) == deaths, crashed
     assert [run["tokens"] for run in runs] == [8], runs
--- a/features/steps/link_saturation_steps.py
+++ b/features/steps/link_saturation_steps.py
@@ -8,13 +8,13 @@
 from endivevane.coordination import clock
 from endivevane.external import http_pool, link, objects, vms
 
-# All of the link but the reserve of the default configuration.
+# The link without the control reserve of the default configuration.
 _LINK = snapshot.Link(15e6 / 8, 0.9, 400_000.0)
 _CONTROL_INTERVAL_S = 0.1
 
 
 def _move_objects(context, number, size, deadline_s):
-    """Write and read objects in turn; even numbers begin with a read."""
+    """Write objects if the number is odd, read them if it is even."""
     share = link.LinkShare(
         clock.SystemClock(), lambda: _LINK.data_bytes_s / context.daemons
     )
@@ -77,7 +77,7 @@
     assert 0.8 <= used <= 1.1, used
 
 
-@then("every control call meanwhile was answered within the {bound:g} s of a probe")
+@then("every control call was answered within the {bound:g} s of a probe")
 def step_control(context, bound):
     worst_s = max(context.control_s)
     print(f"{len(context.control_s)} control calls, the slowest took {worst_s:.3f} s")
--- a/features/steps/link_shares_steps.py
+++ b/features/steps/link_shares_steps.py
@@ -14,10 +14,10 @@
     context.group.publish(1)
     context.group.start()
     assert context.group.wait_joined() is not None
-    context.most = 0.0
+    context.max_total = 0.0
 
 
-@when("the daemon {number:d} needs the link")
+@when("daemon {number:d} needs the link")
 def step_need(context, number):
     context.group.link_needs[number] = context.group.link_rate
 
@@ -27,13 +27,13 @@
     "{bound:d} seconds"
 )
 def step_shares(context, numbers, percent, bound):
-    """The bound leaves 4 s beyond the settle time of 3 s and the ramp of 4 s."""
+    """The limit allows 4 s beyond the settle time of 3 s and the ramp of 4 s."""
     rate = context.group.link_rate
     deadline_s = time.monotonic() + bound
     wanted = [int(number) for number in numbers.split()]
     while True:
         found = [item.compute_share(rate) for item in context.group.link_shares]
-        context.most = max(context.most, sum(found))
+        context.max_total = max(context.max_total, sum(found))
         if all(found[number] >= percent / 100 * rate for number in wanted):
             return
         assert time.monotonic() < deadline_s, found
@@ -42,5 +42,5 @@
 
 @then("all together never had more than the rate")
 def step_sum(context):
-    print(f"at most {context.most / context.group.link_rate:.3f} of the rate")
-    assert context.most <= context.group.link_rate * 1.0001, context.most
+    print(f"at most {context.max_total / context.group.link_rate:.3f} of the rate")
+    assert context.max_total <= context.group.link_rate * 1.0001, context.max_total
--- a/features/steps/link_steps.py
+++ b/features/steps/link_steps.py
@@ -27,7 +27,7 @@
     context.budget.set_rate(float(rate))
 
 
-@when("a first stream passes {size:d} bytes and goes on")
+@when("a first stream transfers {size:d} bytes and goes on")
 def step_pass_stream(context, size):
     assert context.budget.has_room()
     context.budget.open_stream("attempt-1", "service")
@@ -82,7 +82,7 @@
     assert context.share.take(size) == wait
 
 
-@given("a fleet whose daemons stand in another region than the platform")
+@given("a fleet whose daemons run in another region than the platform")
 def step_fleet(context):
     settings = {"platform": {"region": "elsewhere"}}
     plan = fleet.FleetPlan(daemons=1, engines=1, daemon_settings=settings)
@@ -145,7 +145,7 @@
 
 @then("the online link bytes are within 2% of what the link has passed")
 def step_online_bytes(context):
-    """The head of a call is an estimate of 300 bytes; all else is exact."""
+    """The head of a call is estimated at 300 bytes; all else is exact."""
     counted = _read_online_bytes() - context.counted_before
     record = context.link.record()
     passed = record["outward_bytes"] + record["inward_bytes"]
--- a/features/steps/loads_steps.py
+++ b/features/steps/loads_steps.py
@@ -62,15 +62,15 @@
     time.sleep(seconds)
 
 
-@when("the first engine goes silent and {seconds:d} seconds pass")
+@when("the first engine stops answering and {seconds:d} seconds pass")
 def step_silent(context, seconds):
     context.fleet.engines[0].set_faults(silent=True)
     context.before = _count(context)
     time.sleep(seconds)
 
 
-@when("the first engine is leaving and {seconds:d} seconds pass")
-def step_leaving(context, seconds):
+@when("the first engine is draining and {seconds:d} seconds pass")
+def step_drain(context, seconds):
     context.task.set_leaving({context.fleet.engines[0].name})
     context.before = _count(context)
     time.sleep(seconds)
@@ -100,7 +100,7 @@
 
 
 @then("the first engine has reported at most {count:d} more time")
-def step_check_leaving(context, count):
+def step_check_draining(context, count):
     name = context.fleet.engines[0].name
     assert _count(context)[name] - context.before[name] <= count
 
@@ -137,9 +137,9 @@
     assert _count(context)["far"] >= count, _count(context)
 
 
-@then("no bytes have passed beyond those of the reports")
+@then("no bytes were transferred beyond those of the reports")
 def step_check_size(context):
-    """Numbers of the report change its length by a few bytes."""
+    """The length of a report varies by a few bytes with its numbers."""
     context.task.stop()
     reports = _count(context)["far"]
     passed = _count_passed(context) - context.report_bytes
--- a/features/steps/online_use_steps.py
+++ b/features/steps/online_use_steps.py
@@ -17,7 +17,7 @@
     context.online = slack.OnlineUse()
 
 
-@when("a daemon tells {before:d} requests at 900 ms and {after:d} at 1400 ms")
+@when("a daemon reports {before:d} requests at 900 ms and {after:d} at 1400 ms")
 def step_tell(context, before, after):
     context.online.note("d1", before, 900)
     context.online.note("d1", after, 1400)
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -19,14 +19,14 @@
 
 
 class QuarantineFleet(batch_fleet.BatchFleet):
-    """A batch fleet in chosen zones whose engines crash on one prompt."""
+    """A batch fleet in given zones whose engines crash on one prompt."""
 
     def __init__(self, zones):
         super().__init__(daemons=3, engines=6, zones=_ZONES[zones])
         self.supervisor = None
 
     def keep_running(self):
-        """Start engines that crashed again, until the fleet is closed."""
+        """Restart crashed engines until the fleet is closed."""
 
         def run():
             while not self.is_closed.wait(1.0):
@@ -50,12 +50,12 @@
             engine.set_faults(crash_on=_CRASHING)
 
     def count_crashes(self):
-        """Return how often engines crashed, by their own lines in the logs."""
+        """Return the number of engine crashes, counted by their log lines."""
         logs = [item.process.log_path.read_text() for item in self.fleet.engines]
         return sum(log.splitlines().count("crashed") for log in logs)
 
     def send(self, daemon, prompt):
-        """Return the status of a request that is sent to one daemon."""
+        """Send a request to one daemon and return its status."""
         messages = [{"role": "user", "content": prompt}]
         body = {"model": _MODEL, "max_tokens": 8, "messages": messages}
         fields = {"Authorization": f"Bearer {self.fleet.caller_key()}"}
@@ -67,7 +67,7 @@
         return raw_http.read_answer(sock).status
 
     def send_to_all(self, prompt):
-        """Return the statuses of a request sent to all daemons at the same moment."""
+        """Send a request to all daemons at the same time and return the statuses."""
         barrier = threading.Barrier(len(self.fleet.daemons))
         statuses = [0] * len(self.fleet.daemons)
 
@@ -139,7 +139,7 @@
 
 @when("a daemon is killed and started again while the others are paused")
 def step_restart_daemon(context):
-    """Nobody can tell the daemon of the quarantine but the table service."""
+    """The daemon can learn of the quarantine from the table service only."""
     first, *others = context.world.fleet.daemons
     first.kill()
     for daemon in others:
@@ -169,7 +169,7 @@
     assert statuses == [200, 200, 200], statuses
 
 
-@given("rows of deaths in a store")
+@given("rows of crashes in a store")
 def step_rows(context):
     context.clock = clock.ManualClock(1000.0, 1_700_000_000_000)
     context.store = testing.MemoryTableStore()
@@ -184,11 +184,11 @@
     return row.value["deaths"] if row is not None else 0
 
 
-@when("two daemons write one death each of different targets")
+@when("two daemons write one crash each of different targets")
 def step_two_rows(context):
-    died_ms = context.clock.wall_ms()
+    crashed_ms = context.clock.wall_ms()
     for target, deaths in (("t1", 1), ("t1", 1), ("t2", 2)):
-        entry = messages.QuarantineChanged("f", -died_ms, target)
+        entry = messages.QuarantineChanged("f", -crashed_ms, target)
         assert context.rows.write(entry)
         assert _read_deaths(context) == deaths, (target, _read_deaths(context))
 
@@ -203,7 +203,7 @@
     assert len(context.got) == 1, context.got
 
 
-@then("the ended row is overwritten by a new death and removed after its end")
+@then("the expired row is overwritten by a new crash and removed after its end")
 def step_old_row(context):
     entry = messages.QuarantineChanged("f", -context.clock.wall_ms(), "t9")
     assert context.rows.write(entry) and _read_deaths(context) == 1
--- a/features/steps/relay_fuzz_steps.py
+++ b/features/steps/relay_fuzz_steps.py
@@ -10,7 +10,7 @@
 _make_whole = answers.make_whole
 
 
-def _pass_off(self, failure, detail):
+def _complete_on_break(self, failure, detail):
     self._host.cancel_attempt(self.attempt)
     self._complete(self._host.now_s)
 
@@ -39,7 +39,7 @@
 
 def _break(fault):
     if fault == "passes a break off as the end":
-        return mock.patch.object(stream.Stream, "take_break", _pass_off)
+        return mock.patch.object(stream.Stream, "take_break", _complete_on_break)
     if fault == "repeats what another run has sent":
         return mock.patch.object(delivery.Delivery, "take", _repeat)
     if fault == "does not compare a second run":
--- a/features/steps/streams_result_steps.py
+++ b/features/steps/streams_result_steps.py
@@ -12,8 +12,8 @@
 )
 
 
-@then("the client has the engine's whole text")
-@then("each time the client has the engine's whole text")
+@then("the client has the engine's complete text")
+@then("each time the client has the engine's complete text")
 def step_check_text(context):
     for text in context.texts:
         assert text == context.expected, (text, context.expected)
@@ -27,7 +27,7 @@
     assert [run["state"] for run in runs] == ["finished"], runs
 
 
-@then("the caller has the engine's whole text")
+@then("the caller has the engine's complete text")
 def step_check_caller_text(context):
     answer = online_calls.finish_call(context)
     assert answer.status == 200, (answer.status, answer.body)
@@ -48,13 +48,13 @@
     assert answer.error["message"] and answer.error["code"] and answer.error["type"]
 
 
-@then("the stream has no [DONE] and its framing is cut")
+@then("the stream has no [DONE] and its framing is incomplete")
 def step_check_cut(context):
     assert raw_http.DONE not in context.answer.payloads
     assert not context.answer.is_whole
 
 
-@then("the stream is whole")
+@then("the stream is complete")
 def step_check_whole(context):
     assert context.answer.payloads[-1] == raw_http.DONE
     assert context.answer.is_whole
@@ -90,7 +90,7 @@
     )
 
 
-@then("the reading caller has the whole answer within {limit_s:g} s")
+@then("the reading caller has the complete answer within {limit_s:g} s")
 def step_check_reader(context, limit_s):
     assert context.answer.is_whole
     assert context.answer.payloads[-1] == raw_http.DONE
@@ -100,7 +100,7 @@
 
 @then("at most {kilobytes:d} KB were buffered for each caller")
 def step_check_buffers(context, kilobytes):
-    # The engine is not read above the high watermark, so one read comes on top.
+    # Reading stops above the high watermark, so at most one read is added to it.
     assert 0 < context.largest_bytes <= kilobytes << 10, context.largest_bytes
 
 
@@ -120,11 +120,11 @@
 
 
 @then("the answer came within {limit_s:g} s")
-def step_check_at_once(context, limit_s):
+def step_check_duration(context, limit_s):
     assert context.ended_s - context.begun_s < limit_s
 
 
-@then("each answer is whole")
+@then("each answer is complete")
 def step_check_each(context):
     for answer in context.answers:
         assert answer.status == 200, answer.body
@@ -148,7 +148,7 @@
     assert least_s <= context.took_s <= most_s, context.took_s
 
 
-@then('{whole:d} answers are whole and 1 is refused with 429 and "not-run"')
+@then('{whole:d} answers are complete and 1 is refused with 429 and "not-run"')
 def step_check_many(context, whole):
     statuses = sorted(answer.status for answer in context.answers)
     assert statuses == [200] * whole + [429], statuses
@@ -175,9 +175,9 @@
     assert context.idle.recv(1) == b""
 
 
-@then("the planned stop finished everything")
+@then("the graceful shutdown finished everything")
 def step_check_stopped(context):
-    assert context.stop.result(), "the planned stop did not finish"
+    assert context.stop.result(), "the graceful shutdown did not finish"
     assert context.unused.recv(1) == b"", "an idle connection stayed open"
 
 
@@ -208,7 +208,7 @@
     def find_ends():
         return [fields for event, fields in context.events if event == "request_ended"]
 
-    engine_caller.wait_until(find_ends, 5.0, "no line about the end")
+    engine_caller.wait_until(find_ends, 5.0, "no final log line")
     ends = find_ends()
     assert len(ends) == 1, ends
     for row in context.table:
@@ -244,7 +244,7 @@
 
 @then("the second engine is asked to cancel within {limit_s:g} s")
 def step_check_asked(context, limit_s):
-    # One connect timeout of 1 s, and the rest for a busy machine.
+    # One connect timeout of 1 s, plus a margin for a busy machine.
     engine_caller.wait_until(
         lambda: context.engines[0].count("DELETE"), limit_s, "no cancellation came"
     )
@@ -252,7 +252,7 @@
 
 @then("the second engine gets the request within {limit_s:g} s")
 def step_check_opened(context, limit_s):
-    # Less than the connect timeout of 1 s, which every resume would take.
+    # Less than the connect timeout of 1 s, which each resume takes.
     engine_caller.wait_until(
         lambda: context.engines[0].count("POST"), limit_s, "no request came"
     )
--- a/features/steps/streams_steps.py
+++ b/features/steps/streams_steps.py
@@ -47,14 +47,14 @@
 def step_script_two(context):
     context.engines = []
     broken = [scripted_engine.HEAD, scripted_engine.make_tokens(0, 5, "first")]
-    whole = [
+    full_response = [
         scripted_engine.HEAD,
         scripted_engine.make_tokens(0, 10, "second"),
         scripted_engine.make_chunk(scripted_engine.DONE),
         scripted_engine.LAST_CHUNK,
     ]
-    # Whichever engine is asked first breaks; the state is shared by both.
-    answers = [broken, whole]
+    # The engines share the list, so the first request breaks at either of them.
+    answers = [broken, full_response]
     for name in ("one", "two"):
         engine = scripted_engine.ScriptedEngine(answers)
         engine.name = name
@@ -62,12 +62,12 @@
         context.engines.append(engine)
 
 
-@given("streams are taken for silent after {seconds:g} s")
+@given("streams time out after {seconds:g} s")
 def step_set_inactivity(context, seconds):
     context.online = {"inactivity_timeout_s": seconds}
 
 
-@given("callers that take nothing for {seconds:g} s are cut off")
+@given("callers that read nothing for {seconds:g} s are disconnected")
 def step_set_slow(context, seconds):
     context.relay_limits = {"slow_caller_timeout_s": seconds}
 
@@ -104,7 +104,7 @@
 
 @given("an idle connection that has been used once")
 def step_idle(context):
-    # Long enough for the steps that use the connection on a busy machine.
+    # Long enough for the steps that use the connection, on a busy machine.
     context.server_limits = {"drain_idle_s": 3.0}
     context.idle = raw_http.connect(online_calls.get_front(context).address)
     context.unused = raw_http.connect(online_calls.get_front(context).address)
@@ -122,10 +122,10 @@
     context.texts = []
     client = _make_client(context)
     for _ in range(int(times.split(" ")[0]) if times else 1):
-        context.texts.append(_ask_officially(client, prompt, tokens, way))
+        context.texts.append(_call_with_client(client, prompt, tokens, way))
 
 
-def _ask_officially(client, prompt, tokens, way):
+def _call_with_client(client, prompt, tokens, way):
     create = functools.partial(
         client.chat.completions.create,
         model=online_calls.MODEL,
@@ -136,11 +136,11 @@
         return "".join(
             chunk.choices[0].delta.content or "" for chunk in create(stream=True)
         )
-    whole = create()
-    assert whole.object == "chat.completion"
-    assert whole.usage.completion_tokens == tokens, whole.usage
-    assert whole.choices[0].finish_reason == "length"
-    return whole.choices[0].message.content
+    full_response = create()
+    assert full_response.object == "chat.completion"
+    assert full_response.usage.completion_tokens == tokens, full_response.usage
+    assert full_response.choices[0].finish_reason == "length"
+    return full_response.choices[0].message.content
 
 
 @given(
@@ -213,7 +213,7 @@
 @when(
     'a caller asks "{prompt}" for {tokens:d} tokens {way} and leaves after {wait_s:g} s'
 )
-def step_leave(context, prompt, tokens, way, wait_s):
+def step_disconnect(context, prompt, tokens, way, wait_s):
     sock = raw_http.connect(online_calls.get_front(context).address)
     sock.sendall(
         online_calls.encode_call(prompt, tokens, is_streamed=way == "streamed")
@@ -221,10 +221,10 @@
     online_calls.find_running(context)
     time.sleep(wait_s)
     sock.close()
-    context.left_s = time.monotonic()
+    context.disconnected_s = time.monotonic()
 
 
-@when("the open streams of all engines go silent after {tokens:d} tokens")
+@when("the open streams of all engines stall after {tokens:d} tokens")
 def step_silence(context, tokens):
     online_calls.find_running(context, 5)
     for engine in context.engines:
@@ -236,7 +236,7 @@
     online_calls.find_running(context, tokens).process.kill()
 
 
-@when("the front end is started afresh")
+@when("the front end is restarted")
 def step_restart(context):
     context.front.stop()
     context.front = None
@@ -257,13 +257,13 @@
     context.begun_s = time.monotonic()
     reader = online_machine.Background(online_calls.call, context, "fast")
     while reader.is_running:
-        _note_buffers(context)
+        _record_buffers(context)
         time.sleep(0.01)
     context.answer = reader.result()
     context.took_s = time.monotonic() - context.begun_s
 
 
-def _note_buffers(context):
+def _record_buffers(context):
     streams = list(context.front.relay._dispatcher.streams.values())
     for stream in streams:
         pending = stream._caller.pending_bytes
@@ -280,7 +280,7 @@
     context.answers = [item.result() for item in callers]
 
 
-@when("the planned stop begins after {seconds:g} s")
+@when("the graceful shutdown begins after {seconds:g} s")
 def step_stop(context, seconds):
     online_calls.find_running(context, 1)
     time.sleep(seconds)
@@ -291,16 +291,16 @@
 
 @given('the scheduler raises an exception in "{function}" for the prompt "{prompt}"')
 def step_break_scheduler(context, function, prompt):
-    decider = online_calls.get_front(context).scheduler
-    original = getattr(decider, function)
+    online_scheduler = online_calls.get_front(context).scheduler
+    original = getattr(online_scheduler, function)
 
     def fail_sometimes(item):
         request = getattr(item, "request", item)
         if request.body["messages"][0]["content"] == prompt:
-            raise RuntimeError("a fault on purpose")
+            raise RuntimeError("injected fault")
         return original(item)
 
-    setattr(decider, function, fail_sometimes)
+    setattr(online_scheduler, function, fail_sometimes)
 
 
 @when('"{first}" and "{second}" are streamed at the same time')
@@ -314,7 +314,7 @@
 
 @given("the events of the log are recorded")
 def step_record_log(context):
-    # The observer outlives the scenario, so it must not use the context.
+    # The observer outlives the scenario, so it must not reference the context.
     context.events = events = []
     logs.add_observer(lambda event, fields: events.append((event, fields)))
 
@@ -322,12 +322,12 @@
 @given("the next {count:d} events of the log raise an exception")
 def step_break_log(context, count):
     online_calls.get_front(context)
-    left = [None] * count
+    remaining = [None] * count
 
     def fail_sometimes(event, fields):
-        if left:
-            left.pop()
-            raise RuntimeError("a fault on purpose")
+        if remaining:
+            remaining.pop()
+            raise RuntimeError("injected fault")
 
     logs.add_observer(fail_sometimes)
 
@@ -361,7 +361,7 @@
     listener.listen(0)
     context.cleanups.append(listener.close)
     context.lost = f"127.0.0.1:{listener.getsockname()[1]}"
-    # A full queue makes the kernel ignore further connections, like a lost VM.
+    # With a full accept queue the kernel ignores further connections, like a lost VM.
     for _ in range(4):
         filler = socket.socket()
         filler.setblocking(False)
--- a/features/streams.feature
+++ b/features/streams.feature
@@ -1,9 +1,9 @@
-Feature: Online requests get one whole answer, or an error that tells the truth
+Feature: Online requests get one complete response or an error with a correct run state
 
-  Scenario Outline: The official client gets the whole answer
+  Scenario Outline: The official client gets the complete response
     Given 2 engines that make a token every 5 ms, behind the front end
     When the official client asks "count the crates" for 40 tokens <way>
-    Then the client has the engine's whole text
+    Then the client has the engine's complete text
     And the engines have run it once
 
     Examples:
@@ -15,10 +15,10 @@
   Scenario: A request for an adapter is run where the adapter is loaded
     Given 2 engines, of which the second has the adapter "small-lm:tuned", behind the front end
     When "adapters" is asked of model "small-lm:tuned" for 5 tokens 4 times
-    Then each answer is whole
+    Then each answer is complete
     And the second engine has run "small-lm:tuned" 4 times
 
-  Scenario: A request for an adapter that is loaded nowhere may be sent again later
+  Scenario: A request for an adapter that is loaded nowhere is refused as retryable
     Given 2 engines that make a token every 5 ms, behind the front end
     When "adapters" is asked of model "small-lm:tuned" for 5 tokens 1 times
     Then the answer has status 503 and says "not-run"
@@ -29,7 +29,7 @@
     Given 2 engines that make a token every 5 ms, behind the front end
     And the next stream of each engine loses its connection after <tokens> tokens
     When the official client asks "broken belt" for 60 tokens <way>
-    Then the client has the engine's whole text
+    Then the client has the engine's complete text
     And the engines have run it once
 
     Examples:
@@ -38,45 +38,45 @@
       | 25     | streamed |
       | 25     | whole    |
 
-  # Guards against waiting for ever on a connection that a network device forgot.
+  # Guards against waiting forever on a connection that a network device has dropped.
   Scenario: A stream that goes silent is resumed on a new connection
     Given 1 engine that makes a token every 10 ms, behind the front end
-    And streams are taken for silent after 0.5 s
+    And streams time out after 0.5 s
     When a caller streams "silent shed" for 100 tokens
-    And the open streams of all engines go silent after 10 tokens
-    Then the caller has the engine's whole text
+    And the open streams of all engines stall after 10 tokens
+    Then the caller has the engine's complete text
     And the engines have run it once
 
-  # Guards against loss of accepted requests with their engine.
-  Scenario: A deterministic answer is completed elsewhere when its engine dies
+  # Guards against accepted requests that are lost with their engine.
+  Scenario: A deterministic response is completed elsewhere when its engine crashes
     Given 2 engines that make a token every 10 ms, behind the front end
     When a caller streams "dead engine" for 100 tokens with temperature 0
     And the engine that runs it is killed after 20 tokens
-    Then the caller has the engine's whole text
+    Then the caller has the engine's complete text
 
-  Scenario: An answer that can't be repeated ends with an error when its engine dies
+  Scenario: A response that can't be reproduced ends with an error if its engine crashes
     Given 2 engines that make a token every 10 ms, behind the front end
     When a caller streams "dead engine" for 100 tokens
     And the engine that runs it is killed after 20 tokens
     Then the stream ends with an error that says "may-have-run"
-    And the stream has no [DONE] and its framing is cut
+    And the stream has no [DONE] and its framing is incomplete
 
-  Scenario: An unstreamed answer starts afresh elsewhere when its engine dies
+  Scenario: An unstreamed request is rerun elsewhere when its engine crashes
     Given 2 engines that make a token every 10 ms, behind the front end
     When a caller asks "dead engine" for 100 tokens unstreamed
     And the engine that runs it is killed after 20 tokens
-    Then the caller has the engine's whole text
+    Then the caller has the engine's complete text
 
-  # Guards against two different answers glued together.
+  # Guards against a response composed of two different runs.
   Scenario: A second run that differs ends the answer with an error
     Given scripted engines, each breaking or answering with its own text
     When a caller streams "differs" with temperature 0
     Then the stream ends with an error that says "may-have-run"
-    And the stream has no [DONE] and its framing is cut
+    And the stream has no [DONE] and its framing is incomplete
     And the stream has only text of the first engine
 
-  # Guards against engines that go on computing for nobody.
-  Scenario Outline: The engine stops when the caller leaves
+  # Guards against engines that keep computing for a disconnected caller.
+  Scenario Outline: The engine stops when the caller disconnects
     Given 1 engine that makes a token every 10 ms after <prefill> ms, behind the front end
     When a caller asks "left alone" for 1000 tokens <way> and leaves after <wait> s
     Then the engine's record says cancelled within 2 s
@@ -88,23 +88,23 @@
       | 5       | unstreamed | 0.5  |
       | 3000    | streamed   | 0.3  |
 
-  # Guards against one caller's full buffers holding up the others.
-  Scenario: A caller that does not read does not disturb others and is cut off
+  # Guards against one caller's full buffers blocking the others.
+  Scenario: A caller that does not read does not delay others and is disconnected
     Given a scripted engine with the answer "12 MB at once"
-    And callers that take nothing for 1 s are cut off
+    And callers that read nothing for 1 s are disconnected
     When 3 callers stream and do not read, and one caller reads
-    Then the reading caller has the whole answer within 10 s
+    Then the reading caller has the complete answer within 10 s
     And at most 256 KB were buffered for each caller
     And no request is open within 10 s
 
-  # Guards against answers that look whole but are not.
-  Scenario Outline: A truncated or faulty answer is never passed off as whole
+  # Guards against incomplete responses that look complete.
+  Scenario Outline: A truncated or malformed response is never ended as complete
     Given a scripted engine with the answer "<answer>"
     When a caller streams "truncated"
     Then the stream ends with an error that says "may-have-run"
-    And the stream has no [DONE] and its framing is cut
+    And the stream has no [DONE] and its framing is incomplete
     And the caller got the tokens "t0 t1 t2"
-    When the front end is started afresh
+    When the front end is restarted
     And a caller asks "truncated" unstreamed
     Then the answer has status 502 and says "may-have-run"
 
@@ -118,11 +118,11 @@
       | lines without data    |
       | bad chunk size        |
 
-  Scenario Outline: Unusual but correct framing is understood
+  Scenario Outline: Unusual but valid framing is accepted
     Given a scripted engine with the answer "<answer>"
     When a caller streams "framing"
     Then the caller got the tokens "t0 t1 t2 t3 t4"
-    And the stream is whole
+    And the stream is complete
 
     Examples:
       | answer                    |
@@ -135,11 +135,11 @@
       | an interim response first |
       | no offsets                |
 
-  Scenario Outline: A refusal by the engine is sent elsewhere
+  Scenario Outline: A request that an engine refuses is retried elsewhere
     Given 2 engines that make a token every 5 ms, behind the front end
     And the first engine <fault>
     When the official client asks "refused" for 5 tokens streamed 6 times
-    Then each time the client has the engine's whole text
+    Then each time the client has the engine's complete text
 
     Examples:
       | fault                      |
@@ -147,8 +147,8 @@
       | is not running             |
       | accepts and never answers  |
 
-  # Guards against a delay of the final answer, and against a false "not-run".
-  Scenario: A request that no engine takes is refused at once
+  # Guards against a delayed final response and against a false "not-run".
+  Scenario: A request that no engine accepts is refused immediately
     Given 2 engines that make a token every 5 ms, behind the front end
     And all engines refuse every request
     When a caller asks "nobody" for 5 tokens unstreamed
@@ -156,7 +156,7 @@
     And the answer has Retry-After
     And the answer came within 2 s
 
-  Scenario Outline: What the engine says of a wrong request reaches the caller
+  Scenario Outline: The engine's error for an invalid request reaches the caller
     Given a scripted engine with the answer "<answer>"
     When a caller asks "too long" unstreamed
     Then the answer has status 400 and says "<state>"
@@ -180,25 +180,25 @@
       | streamed   |
       | unstreamed |
 
-  Scenario: More requests than the bound are refused
+  Scenario: Requests beyond the limit are refused
     Given 1 engine that makes a token every 10 ms, behind the front end
     And at most 3 requests may be open
     When 4 callers stream 150 tokens each
-    Then 3 answers are whole and 1 is refused with 429 and "not-run"
+    Then 3 answers are complete and 1 is refused with 429 and "not-run"
 
-  # Guards against planned stops that cut requests.
-  Scenario: A planned stop finishes open streams and closes idle connections
+  # Guards against shutdowns that interrupt requests.
+  Scenario: A graceful shutdown finishes open streams and closes idle connections
     Given 1 engine that makes a token every 10 ms, behind the front end
     And an idle connection that has been used once
     When a caller streams "planned stop" for 150 tokens
-    And the planned stop begins after 0.3 s
+    And the graceful shutdown begins after 0.3 s
     Then a new connection is refused
     And a call on the idle connection is answered and the connection is closed
-    And the caller has the engine's whole text
-    And the planned stop finished everything
+    And the caller has the engine's complete text
+    And the graceful shutdown finished everything
 
-  # Guards against one faulty request that ends the thread of all streams.
-  Scenario Outline: A fault in the decision code ends one request only
+  # Guards against an exception for one request that ends the thread of all streams.
+  Scenario Outline: An exception in the scheduler ends one request only
     Given 1 engine that makes a token every 5 ms, behind the front end
     And the scheduler raises an exception in "<function>" for the prompt "bad luck"
     When "bad luck" and "good luck" are streamed at the same time
@@ -210,16 +210,16 @@
       | submit             |
       | record_first_token |
 
-  # Guards against an observer of the log that ends the thread of all streams.
-  Scenario: A fault in the log does not end the relay
+  # Guards against an exception in a log observer that ends the thread of all streams.
+  Scenario: An exception in a log observer does not end the relay
     Given 1 engine that makes a token every 5 ms, behind the front end
     And the next 3 events of the log raise an exception
     When a caller streams "first"
     And a caller streams "second" for 30 tokens
-    Then the caller has the engine's whole text
+    Then the caller has the engine's complete text
 
-  # Guards against requests that leave no trace, or several, in the log.
-  Scenario Outline: Each request ends with one line in the log
+  # Guards against requests with no final log line, or with several.
+  Scenario Outline: Each request ends with one log line
     Given 1 engine that makes a token every 10 ms, behind the front end
     And the events of the log are recorded
     When a caller asks "in the log" for <tokens> tokens streamed with <limit> ms to go
@@ -236,8 +236,8 @@
       | 20     | 5000  | completed |
       | 400    | 500   | deadline  |
 
-  # Guards against pieces of an unstreamed answer that are lost or mixed up.
-  Scenario: An unstreamed answer is composed of all its pieces
+  # Guards against parts of an unstreamed response that are lost or mixed up.
+  Scenario: An unstreamed response is merged from all its chunks
     Given a scripted engine with the answer "many kinds of pieces"
     When the official client asks the scripted engine unstreamed
     Then the answer has these parts
@@ -268,13 +268,13 @@
       | caller-key | small-lm small-lm:tuned |
       | other-key  |                         |
 
-  # Guards against cancellations at a lost VM that hold up all others.
+  # Guards against cancellations at a lost VM that block all others.
   Scenario: Cancellations at a lost engine do not delay those at others
     Given an engine that accepts no connection and a scripted engine
     When 100 streams are cancelled at the first and one at the second
     Then the second engine is asked to cancel within 3 s
 
-  # Guards against broken streams of a lost VM that hold up new requests.
+  # Guards against resumes at a lost VM that block new requests.
   Scenario: Resumes at a lost engine do not delay requests at others
     Given an engine that accepts no connection and a scripted engine
     When 100 streams are resumed at the first and one is opened at the second
--- a/features/support/fuzz_broken.py
+++ b/features/support/fuzz_broken.py
@@ -1,4 +1,4 @@
-"""Broken variants of the scheduler that the fuzzing has to find."""
+"""Broken variants of the scheduler that the fuzzing has to detect."""
 
 from endivevane.online import contract, flights, scheduler
 from endivevane.web import errors
@@ -6,7 +6,7 @@
 
 
 class UntruthfulSentRequest(flights.SentRequest):
-    """Broken: a broken connection counts as if nothing had been sent."""
+    """Broken: treats a broken connection as if nothing had been sent."""
 
     __slots__ = ()
 
@@ -16,7 +16,7 @@
 
 
 class UntruthfulScheduler(scheduler.Scheduler):
-    """Makes every flight an untruthful one."""
+    """Replaces every sent request with the broken variant."""
 
     def _send_first(self, state, request, chosen):
         send = super()._send_first(state, request, chosen)
@@ -31,7 +31,7 @@
 
 
 class ForgetfulScheduler(scheduler.Scheduler):
-    """Broken: does not hear that targets are leaving."""
+    """Broken: ignores that targets are draining."""
 
     def set_leaving(self, target_names):
         return None
--- a/features/support/fuzz_parts.py
+++ b/features/support/fuzz_parts.py
@@ -19,7 +19,7 @@
 
 
 class BudgetMachine(stateful.RuleBasedStateMachine):
-    """The budget against the plain list of events."""
+    """The budget against a list of events."""
 
     budget_class = retry.RetryBudget
     steps_run = 0
@@ -50,7 +50,7 @@
 
     @stateful.rule(count=st.integers(1, 5))
     def retry(self, count):
-        """A grant fits the widest reading of the window, a denial the narrowest."""
+        """Check grants against the largest window and denials against the smallest."""
         type(self).steps_run += 1
         window_s = self.settings.window_s
         bucket_s = window_s / 10
@@ -73,7 +73,7 @@
 
 
 class UnfairQueue(deadlines.FairQueue):
-    """Broken: ignores whose turn it is."""
+    """Broken: ignores fair sharing."""
 
     def pop(self):
         entry = self.peek()
@@ -83,10 +83,10 @@
 
 
 class QueueMachine(stateful.RuleBasedStateMachine):
-    """The queue against a plain list.
+    """The queue against a list.
 
-    While organisations wait in the same class without a pause, their service divided
-    by their weight may differ by one entry of each at most.
+    While organisations are continuously backlogged in the same class, their service
+    divided by their weight may differ by at most one entry of each.
     """
 
     queue_class = deadlines.FairQueue
@@ -99,7 +99,7 @@
         self.ids = itertools.count()
         self.entries = {}
         self.now_s = 0.0
-        # Priority -> organisation -> service since all present ones wait together.
+        # Priority -> organisation -> service since the set of waiting ones changed.
         self.served = {}
 
     def _backlog(self, priority):
@@ -148,11 +148,11 @@
         for _ in range(count):
             entry = self.queue.pop()
             if entry is None:
-                assert not self.entries, "the queue hides entries"
+                assert not self.entries, "the queue returned no entry"
                 return
-            assert entry.entry_id in self.entries, "an entry came twice"
+            assert entry.entry_id in self.entries, "an entry was returned twice"
             best = min(item.priority for item in self.entries.values())
-            assert entry.priority == best, "a lower priority went first"
+            assert entry.priority == best, "a lower priority was returned first"
             peers = [
                 item
                 for item in self.entries.values()
@@ -209,10 +209,10 @@
 
 
 class QuarantineMachine(stateful.RuleBasedStateMachine):
-    """Two daemons that exchange entries, late and repeatedly, against a death list.
+    """Two daemons that exchange delayed and repeated entries, against a crash list.
 
-    The oracle knows all deaths. A fingerprint that has killed no target, or one only,
-    must never be quarantined; one that killed two in the sight of one daemon must be.
+    A fingerprint that has crashed fewer than two targets must never be quarantined; one
+    that has crashed two as observed by one daemon must be.
     """
 
     steps_run = 0
@@ -250,7 +250,7 @@
         daemon=st.integers(0, 1), fingerprint=st.sampled_from(["f1", "f2", "f3"])
     )
     def see_the_same_death_again(self, daemon, fingerprint):
-        """Several requests with one fingerprint ran at the target that died."""
+        """Report one crash twice, as several requests with one fingerprint do."""
         type(self).steps_run += 1
         known = [item for item in self.deaths.get(fingerprint, []) if item[1] == daemon]
         if known and self.clock.monotonic_s() - known[-1][0] < 1.0:
@@ -268,7 +268,7 @@
 
     @stateful.rule(daemon=st.integers(0, 1), repeats=st.integers(1, 3))
     def receive(self, daemon, repeats):
-        """Every entry published so far arrives, an own one as an echo."""
+        """Deliver all published entries, including the daemon's own."""
         type(self).steps_run += 1
         for entry in self.published * repeats:
             self.daemons[daemon].receive(*entry)
@@ -296,12 +296,12 @@
 
 
 class HastyQuarantine(quarantine.Quarantine):
-    """Broken: counts the echo of an own report as another death."""
+    """Broken: counts its own report as another crash."""
 
-    def _receive_death(self, fingerprint, wall_ms, target_name):
+    def _receive_crash(self, fingerprint, wall_ms, target_name):
         record = self._get_record(fingerprint)
         now_s = self._clock.monotonic_s()
-        self._add(fingerprint, record, quarantine._Death("", wall_ms, now_s))
+        self._add(fingerprint, record, quarantine._Crash("", wall_ms, now_s))
 
 
 class HastyQuarantineMachine(QuarantineMachine):
--- a/features/support/fuzz_relay.py
+++ b/features/support/fuzz_relay.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the relay's streams, with sockets and engines made of data."""
+"""Stateful fuzzing of the relay's streams with fake sockets and engines."""
 
 import json
 import random
@@ -61,7 +61,7 @@
 
 
 class FakePoller:
-    """Keeps on each socket what is watched."""
+    """Stores the watched events and the callback on each socket."""
 
     def set_events(self, sock, events, callback):
         sock.events, sock.callback = events, callback
@@ -75,7 +75,7 @@
 
 
 class FakeEngines:
-    """Takes the calls to engines; the machine answers them."""
+    """Records the calls to engines; the machine answers them."""
 
     def __init__(self):
         self.calls = []
@@ -92,10 +92,10 @@
 
 
 class RelayMachine(stateful.RuleBasedStateMachine):
-    """Requests, one after the other, whose engines and callers fail at any moment.
+    """Consecutive requests whose engines and callers fail at any time.
 
-    Each engine gives a text of its own when the request is not deterministic, or when
-    it breaks the promise that it is.
+    Each engine returns a different text if the request is not deterministic, or is
+    declared deterministic but is not (``is_liar``).
     """
 
     steps_run = 0
@@ -130,7 +130,7 @@
     def begin(self, is_streamed, is_deterministic, is_liar):
         """Submit the next request, after the last one has ended."""
         self._check_ended()
-        # Targets that are avoided after failures are used again.
+        # Long enough for avoided targets to be used again.
         self.clock.advance(30.0)
         self.requests += 1
         self.caller = FakeSocket()
@@ -170,11 +170,11 @@
         choice=st.integers(0, 5),
     )
     def step(self, action, amount, back, cut, choice):
-        """Do one thing to the request, where it applies."""
+        """Apply one action to the request if it is possible."""
         if action == "fail_call" and self.engines.calls:
             self._fail_call(was_sent=choice % 2 == 0)
         elif action == "leave":
-            self._leave(choice)
+            self._disconnect(choice)
         elif action == "wait":
             self.clock.advance([0.1, 0.5, 1.0, 2.0, 6.0, 31.0][choice])
         elif action == "room":
@@ -190,11 +190,11 @@
         elif action == "refuse":
             self._refuse(503 if choice % 2 else 404)
         elif action == "die":
-            self._die()
+            self._crash()
         self._settle()
 
     def _settle(self):
-        """Run what is ready, then timers and the scheduler."""
+        """Run the ready sockets, then timers and the scheduler."""
         type(self).steps_run += 1
         self.relay.now_s = self.clock.monotonic_s()
         for sock in (self.engine and self.engine.sock, self.caller):
@@ -205,7 +205,7 @@
         self.relay.poll_scheduler()
 
     def _connect(self):
-        """Open a connection that is asked for; return whether there is one."""
+        """Open the requested connection; return whether one is open."""
         if self.engine is not None and not self.engine.sock.is_closed:
             return True
         if not self.engines.calls:
@@ -228,12 +228,12 @@
         message = messages.OpenFailed(attempt, call_number, was_sent, "failed")
         self.relay.handle_open_failure(message)
 
-    def _leave(self, choice):
+    def _disconnect(self, choice):
         if choice < 2:
             left = ConnectionResetError("left") if choice else b""
             self.caller.inbox.append(left)
 
-    def _take_head(self):
+    def _pop_head(self):
         head = b"" if self.engine.has_head else scripted_engine.HEAD
         self.engine.has_head = True
         return head
@@ -250,7 +250,7 @@
         engine = self.engine
         first = max(0, engine.next - back)
         engine.next = max(engine.next, min(_TOKENS, engine.next + count))
-        data = self._take_head() + self._make_tokens(first, engine.next - first)
+        data = self._pop_head() + self._make_tokens(first, engine.next - first)
         self._receive(data, cut)
 
     def _send_end(self, cut):
@@ -258,11 +258,11 @@
         self.finished.add(engine.attempt.attempt_id)
         rest = self._make_tokens(engine.next, _TOKENS - engine.next)
         done = scripted_engine.make_chunk(scripted_engine.DONE)
-        data = self._take_head() + rest + done + scripted_engine.LAST_CHUNK
+        data = self._pop_head() + rest + done + scripted_engine.LAST_CHUNK
         self._receive(data, cut)
 
     def _break_stream(self, choice):
-        engine, head = self.engine, self._take_head()
+        engine, head = self.engine, self._pop_head()
         event = scripted_engine.make_chunk(b'data: {"error":{"message":"broken"}}\n\n')
         engine.sock.inbox.append(
             [
@@ -284,8 +284,8 @@
         if self.engine.kind == "open":
             self.ran.discard(self.engine.attempt.attempt_id)
 
-    def _die(self):
-        """Break the connection and refuse the resume, as a dead engine does."""
+    def _crash(self):
+        """Break the connection and refuse the resume, as after an engine crash."""
         self.engine.sock.inbox.append(b"")
         self._settle()
         if self.engines.calls and self.engines.calls[0][0] == "resume":
@@ -311,7 +311,7 @@
             assert whole_events.payloads[-1] == raw_http.DONE, "events after [DONE]"
             assert whole_events.payloads.count(raw_http.DONE) == 1
         if answer.is_whole:
-            assert is_done, "the framing is whole but the answer is not"
+            assert is_done, "the framing is complete but the response is not"
         self._check_text(self._join(whole_events), is_done)
 
     def _read_whole(self, answer):
@@ -326,20 +326,20 @@
     def _check_text(self, text, is_whole):
         names = ("t0", "t1", "t2") if self.differs else ("t",)
         texts = ["".join(f"{name}{index} " for index in _WHOLE) for name in names]
-        # A text of several runs is mixed, whether its answer is whole or not.
+        # A text from several runs is a fault even if the response is incomplete.
         assert any(item.startswith(text) for item in texts), f"mixed: {text!r}"
         if is_whole:
             assert text in texts, f"not the whole text of one run: {text!r}"
 
     def teardown(self):
-        """Let everything time out."""
+        """Let all time limits expire."""
         for _ in range(8):
             self.clock.advance(40.0)
             self._settle()
         self._check_ended()
 
     def _check_ended(self):
-        """Check that nothing stays open or runs for nobody."""
+        """Check that nothing stays open or keeps running."""
         if self.caller is None:
             return
         while self.engines.calls:
--- a/features/support/online_calls.py
+++ b/features/support/online_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the front end from steps, with the state in behave's context."""
+"""Helpers for steps that call the front end."""
 
 import functools
 import json
@@ -9,7 +9,7 @@
 
 
 def get_front(context):
-    """Start the front end with what the scenario has set."""
+    """Return the front end, started with the scenario's settings."""
     if getattr(context, "front", None) is None:
         targets = {item.name: item.address for item in context.engines}
         context.front = online_machine.Front(
--- a/features/support/online_machine.py
+++ b/features/support/online_machine.py
@@ -1,4 +1,4 @@
-"""Front end and relay in this process, in front of engine processes."""
+"""Front end and relay in this process, with engines as child processes."""
 
 import contextlib
 import hashlib
@@ -46,7 +46,7 @@
 
 
 class Engines:
-    """Starts engine stand-ins and ends them."""
+    """Starts and stops engine stand-ins."""
 
     def __init__(self):
         self._processes = processes.Processes()
@@ -102,7 +102,7 @@
 
 
 def make_attempt(address):
-    """Return an attempt at an address."""
+    """Return an attempt whose target has the given address."""
     service = make_snapshot({"target": address}, {}).services["small"]
     request = contract.OnlineRequest(
         request_id="req-1",
@@ -157,7 +157,7 @@
         return str(self.server.address)
 
     def drain(self, timeout_s):
-        """Stop as planned; return whether everything could be finished."""
+        """Shut down gracefully; return whether all requests finished."""
         deadline_s = time.monotonic() + timeout_s
         is_answered = self.server.drain(deadline_s)
         return self.relay.drain(deadline_s) and is_answered
@@ -170,7 +170,7 @@
 
 
 class Background:
-    """Runs a function on a thread and keeps its result or exception."""
+    """Runs a function on a thread and stores its result or exception."""
 
     def __init__(self, function, *arguments):
         self._function = function
--- a/features/support/raw_http.py
+++ b/features/support/raw_http.py
@@ -1,4 +1,4 @@
-"""Calls over plain sockets that show the framing of the answer."""
+"""HTTP calls over plain sockets that expose the framing of the response."""
 
 import dataclasses
 import json
@@ -9,9 +9,9 @@
 
 @dataclasses.dataclass
 class Answer:
-    """An answer as it came over the wire.
+    """A response as received.
 
-    ``is_whole`` says whether the framing marks its end.
+    ``is_whole`` tells whether the response is complete according to its framing.
     """
 
     status: int
@@ -39,7 +39,7 @@
 
     @property
     def error(self):
-        """The error of the answer or of its last event, or None."""
+        """The error of the response or of its last event, or ``None``."""
         if not self.headers.get("content-type", "").startswith("text/event-stream"):
             return self.json.get("error")
         last = self.payloads[-1]
@@ -82,7 +82,7 @@
 
 
 def parse_answer(data):
-    head, _, rest = data.partition(b"\r\n\r\n")
+    head, _, remainder = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     status = int(lines[0].split(" ")[1])
     headers = {}
@@ -90,15 +90,15 @@
         name, _, value = line.partition(":")
         headers[name.strip().lower()] = value.strip()
     if headers.get("transfer-encoding") == "chunked":
-        body, is_whole = _decode_chunks(rest)
+        body, is_whole = _decode_chunks(remainder)
     else:
-        body = rest
-        is_whole = len(rest) == int(headers.get("content-length", -1))
+        body = remainder
+        is_whole = len(remainder) == int(headers.get("content-length", -1))
     return Answer(status, headers, body, is_whole)
 
 
 def _decode_chunks(data):
-    # By position: cutting off each chunk took 14 s for 12 MB on a busy machine.
+    # Parsed by position: slicing off each chunk took 14 s for 12 MB on a busy machine.
     parts = []
     position = 0
     while position < len(data):
@@ -118,7 +118,7 @@
 
 
 def ask_on(sock, path):
-    """Ask for a small JSON document and leave the connection open."""
+    """Get a small JSON document and keep the connection open."""
     sock.sendall(encode_request("GET", path))
     data = b""
     while b"}" not in data:
--- a/features/support/scheduling.py
+++ b/features/support/scheduling.py
@@ -1,4 +1,4 @@
-"""Builds snapshots, requests and reports for scenarios of the scheduler."""
+"""Factories of snapshots, requests and reports for scheduler scenarios."""
 
 import itertools
 import random
@@ -62,7 +62,7 @@
 
 
 class Bench:
-    """A scheduler with a manual clock, and requests for it."""
+    """A scheduler with a manual clock and a factory of requests."""
 
     def __init__(self, current, seed=7, place=PLACE, settings=None):
         self.snapshot = current
@@ -104,5 +104,5 @@
         return self.scheduler.submit(self.make_request(**fields))
 
     def make_wall_s(self, age_s=0.0):
-        """Return the wall time of a report of this age."""
+        """Return the wall time of a report with the given age."""
         return self.clock.wall_ms() / 1000 - age_s
--- a/features/support/scripted_engine.py
+++ b/features/support/scripted_engine.py
@@ -1,4 +1,4 @@
-"""An engine whose connections follow a script, for answers no real engine gives."""
+"""An engine that sends scripted responses, including malformed ones."""
 
 import json
 import socket
@@ -12,8 +12,8 @@
 )
 LAST_CHUNK = b"0\r\n\r\n"
 DONE = b"data: [DONE]\n\n"
-# Parts of an answer: one makes the close a reset, the other lets the reader take what
-# was sent before.
+# Parts of a response: RESET makes the close a TCP reset, PAUSE gives the reader time to
+# read what was sent before.
 RESET = object()
 PAUSE = object()
 _PAUSE_S = 0.3
@@ -44,11 +44,11 @@
 
 
 class ScriptedEngine:
-    """Answers posts with one list of bytes and resumes with another, in turn.
+    """Sends responses from one list to posts and from another to resumes.
 
-    Engines that are given the same list of posts take turns with it. The last answer
-    of a list is repeated. Each answer is a list of parts that are sent one by one; the
-    connection is closed after the last.
+    Each response is a list of parts that are sent one by one; the connection is closed
+    after the last. The last response of a list is repeated. Engines created with the
+    same list consume it together.
     """
 
     def __init__(self, posts, resumes=()):
--- a/features/support/scripts.py
+++ b/features/support/scripts.py
@@ -1,4 +1,4 @@
-"""Answers of scripted engines by name, as lists for posts and for resumes."""
+"""Named responses of scripted engines, as arguments of ``ScriptedEngine``."""
 
 import json
 
--- a/features/support/stubborn.py
+++ b/features/support/stubborn.py
@@ -1,4 +1,4 @@
-"""A process that ignores SIGTERM; with the argument ``quit`` it ends at once."""
+"""A process that ignores SIGTERM, or exits with 3 if the argument is ``quit``."""
 
 import signal
 import sys
@@ -10,5 +10,5 @@
         sys.exit(3)
     signal.signal(signal.SIGTERM, signal.SIG_IGN)
     print("ready", flush=True)
-    # The bound ends the process even if the test that started it fails to.
+    # Ends the process even if the test that started it does not.
     time.sleep(60)
--- a/src/endivevane/online/forward.py
+++ b/src/endivevane/online/forward.py
@@ -242,13 +242,15 @@
     ) -> result.Result[at_most_once.Answer, AttemptError]:
         """Send one attempt of a call to a chosen target."""
         if self._clock.monotonic_s() >= plain.deadline_s:
-            return result.Err(AttemptError(True, None, "the call was not sent in time"))
+            return result.Err(
+                AttemptError(True, None, "the deadline passed before the call was sent")
+            )
         plain.attempts += 1
         attempt_id = f"{plain.call.request_id}.{plain.attempts}"
         started_s = self._clock.monotonic_s()
         target = self._targets.begin(plain.service, attempt_id, plain.failed)
         if target is None:
-            return result.Err(AttemptError(True, None, "no target can take the call"))
+            return result.Err(AttemptError(True, None, "no target is available"))
         is_answered: bool | None = None
         try:
             outcome = self._exchange(plain, target, is_repeatable)
@@ -304,7 +306,7 @@
         elif not self._targets.has_target(plain.service, plain.failed):
             reason, text = "no_target", "there is no other target"
         elif not self._targets.try_retry(plain.service.name):
-            reason, text = "budget", "the retry budget is used up"
+            reason, text = "budget", "the retry budget is exhausted"
         else:
             return None
         metrics.RETRIES_DENIED.labels(reason).inc()
--- a/src/endivevane/online/handover.py
+++ b/src/endivevane/online/handover.py
@@ -118,8 +118,8 @@
             read_timeout_s=limit_s,
             max_idle_connections=1,
         )
-        exporter = http_pool.HttpPool(source, limits)
-        importer = http_pool.HttpPool(attempt.target.address, limits)
+        source_pool = http_pool.HttpPool(source, limits)
+        target_pool = http_pool.HttpPool(attempt.target.address, limits)
         headers = {
             "Content-Type": "application/json",
             "X-Request-Id": f"{attempt.attempt_id}.prefill",
@@ -127,7 +127,9 @@
             "X-Endivevane-Class": "online",
         }
         prompt = _make_prefill_body(body)
-        answer = exporter.request("POST", _PATH, prompt, headers, is_repeatable=False)
+        answer = source_pool.request(
+            "POST", _PATH, prompt, headers, is_repeatable=False
+        )
         problem = _find_problem("prefill", answer)
         for prefix_hash in attempt.request.prefix_hashes:
             if problem is not None:
@@ -135,10 +137,10 @@
             if time.monotonic() - started_s > limit_s:
                 return _Problem("too_late", f"not finished within {limit_s:.2f} s")
             export_body = utils.encode_json({"prefix_hash": prefix_hash})
-            block = exporter.request("POST", "/v1/kv/export", export_body)
+            block = source_pool.request("POST", "/v1/kv/export", export_body)
             problem = _find_problem("export", block)
             if isinstance(block, result.Ok) and problem is None:
-                imported = importer.request(
+                imported = target_pool.request(
                     "POST", "/v1/kv/import", block.ok_value.body
                 )
                 problem = _find_problem("import", imported)
--- a/src/endivevane/online/link_budget.py
+++ b/src/endivevane/online/link_budget.py
@@ -87,14 +87,16 @@
         """Return the rate that this daemon needs, and the total rate."""
         with self._lock:
             now_s = self._clock.monotonic_s()
-            passed_s = now_s - self._measured_s
-            if passed_s < _MEASURE_S:
+            elapsed_s = now_s - self._measured_s
+            if elapsed_s < _MEASURE_S:
                 return self._need_bytes_s, self._data_bytes_s
-            needed = max(0.0, self._used_bytes) / passed_s * _HEADROOM
+            need_bytes_s = max(0.0, self._used_bytes) / elapsed_s * _HEADROOM
             if self._is_limited:
-                needed = self._data_bytes_s
-            floor = _NEED_DECAY * self._need_bytes_s
-            self._need_bytes_s = max(needed, floor if floor > 1.0 else 0.0)
+                need_bytes_s = self._data_bytes_s
+            min_need_bytes_s = _NEED_DECAY * self._need_bytes_s
+            self._need_bytes_s = max(
+                need_bytes_s, min_need_bytes_s if min_need_bytes_s > 1.0 else 0.0
+            )
             self._used_bytes = 0.0
             self._is_limited = False
             self._measured_s = now_s
@@ -111,10 +113,12 @@
         even_bytes_s = self._compute_even_share(self._data_bytes_s)
         with self._lock:
             now_s = self._clock.monotonic_s()
-            gained = (now_s - self._filled_s) * rate_bytes_s
+            refill_bytes = (now_s - self._filled_s) * rate_bytes_s
             self._filled_s = now_s
-            limit = max(rate_bytes_s, even_bytes_s) * _BURST_S
-            self._tokens_bytes = min(limit, self._tokens_bytes + gained)
+            max_tokens_bytes = max(rate_bytes_s, even_bytes_s) * _BURST_S
+            self._tokens_bytes = min(
+                max_tokens_bytes, self._tokens_bytes + refill_bytes
+            )
             if self._tokens_bytes <= 0:
                 self._is_limited = True
             return self._tokens_bytes > 0
--- a/src/endivevane/online/loads.py
+++ b/src/endivevane/online/loads.py
@@ -91,15 +91,15 @@
         self._place = place
         self._count_daemons = count_daemons or (lambda: routing.DEFAULT_DAEMONS)
         self._get_further_targets = get_further_targets or tuple
-        self._refreshed_s = -math.inf
+        self._last_refresh_s = -math.inf
         self._settings = settings
         self._clock = task_clock
         self._get_snapshot = get_snapshot
         self._post = post
         self._routing = routing_settings or routing.RoutingSettings()
         self._leaving: frozenset[str] = frozenset()
-        self._polled: dict[str, _PolledTarget] = {}
-        self._seen: tuple[snapshot.Snapshot, frozenset[str]] | None = None
+        self._polled_targets: dict[str, _PolledTarget] = {}
+        self._applied_state: tuple[snapshot.Snapshot, frozenset[str]] | None = None
         self._stopped = threading.Event()
         self._executor = concurrent.futures.ThreadPoolExecutor(
             settings.threads, thread_name_prefix="loads"
@@ -119,7 +119,7 @@
         if self._thread.is_alive():
             self._thread.join()
         self._executor.shutdown(wait=True, cancel_futures=True)
-        for polled in self._polled.values():
+        for polled in self._polled_targets.values():
             polled.pool.close_idle()
 
     def set_leaving(self, target_names: abc.Iterable[str]) -> None:
@@ -133,32 +133,40 @@
 
     def _refresh(self) -> None:
         """Apply changes of the configuration and of the draining targets."""
-        seen = (self._get_snapshot(), self._leaving)
+        current_state = (self._get_snapshot(), self._leaving)
         now_s = self._clock.monotonic_s()
-        is_due = now_s - self._refreshed_s >= _FURTHER_INTERVAL_S
-        if self._seen is not None and _is_same(self._seen, seen) and not is_due:
+        is_due = now_s - self._last_refresh_s >= _FURTHER_INTERVAL_S
+        if (
+            self._applied_state is not None
+            and _is_same(self._applied_state, current_state)
+            and not is_due
+        ):
             return
-        self._seen = seen
-        self._refreshed_s = now_s
+        self._applied_state = current_state
+        self._last_refresh_s = now_s
         wanted: dict[str, snapshot.Target] = {}
-        for service in seen[0].services.values():
+        for service in current_state[0].services.values():
             if service.is_plain:
                 continue
             for target in routing.choose_candidates(
-                self._place, service, seen[1], self._routing, self._count_daemons()
+                self._place,
+                service,
+                current_state[1],
+                self._routing,
+                self._count_daemons(),
             ):
                 wanted[target.name] = target
         candidates = frozenset(wanted)
         further = {item.name: item for item in self._get_further_targets()}
         wanted.update(further)
-        for name in [name for name in self._polled if name not in wanted]:
-            self._polled.pop(name).pool.close_idle()
+        for name in [name for name in self._polled_targets if name not in wanted]:
+            self._polled_targets.pop(name).pool.close_idle()
         for name, target in wanted.items():
-            known = self._polled.get(name)
+            known = self._polled_targets.get(name)
             if known is None or known.target.address != target.address:
-                self._polled[name] = self._make_polled(target)
-            self._polled[name].is_further = name in further
-            self._polled[name].is_candidate = name in candidates
+                self._polled_targets[name] = self._make_polled(target)
+            self._polled_targets[name].is_further = name in further
+            self._polled_targets[name].is_candidate = name in candidates
 
     def _make_polled(self, target: snapshot.Target) -> _PolledTarget:
         limits = http_pool.PoolSettings(
@@ -176,7 +184,7 @@
         settings = self._settings
         now_s = self._clock.monotonic_s()
         candidate_interval_s = self._compute_interval_s()
-        for polled in self._polled.values():
+        for polled in self._polled_targets.values():
             if polled.is_busy or polled.due_s > now_s:
                 continue
             polled.is_busy = True
@@ -186,7 +194,9 @@
             # Jitter keeps the polls of all targets from coinciding.
             polled.due_s = now_s + interval_s * random.uniform(0.9, 1.1)
             self._executor.submit(self._poll, polled)
-        idle = [item.due_s for item in self._polled.values() if not item.is_busy]
+        idle = [
+            item.due_s for item in self._polled_targets.values() if not item.is_busy
+        ]
         # The end of a call does not wake this thread, so the wait has an upper limit.
         next_s = min(idle, default=now_s + _MIN_WAIT_S)
         return min(max(next_s - now_s, _MIN_WAIT_S), settings.interval_s)
@@ -197,7 +207,7 @@
         known = routing.DEFAULT_DAEMONS
         share = known / max(known, self._count_daemons())
         rate = max(settings.min_targets_per_s, settings.max_targets_per_s * share)
-        count = sum(not item.is_further for item in self._polled.values())
+        count = sum(not item.is_further for item in self._polled_targets.values())
         return max(settings.interval_s, count / rate)
 
     def _poll(self, polled: _PolledTarget) -> None:
--- a/src/endivevane/online/plain_targets.py
+++ b/src/endivevane/online/plain_targets.py
@@ -107,8 +107,8 @@
             if state is None or attempt_id not in state.in_flight:
                 return
             if is_answered:
-                before = state.in_flight[attempt_id]
-                state.limit.record_latency(now_s - started_s, before)
+                in_flight_before = state.in_flight[attempt_id]
+                state.limit.record_latency(now_s - started_s, in_flight_before)
                 state.health.record_success(attempt_id, started_s)
             elif is_answered is not None:
                 state.health.record_failure(attempt_id, started_s, now_s)
--- a/src/endivevane/online/quarantine.py
+++ b/src/endivevane/online/quarantine.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Death:
+class _Crash:
     """One crash of a target.
 
     :param target: its name, empty if unknown
@@ -45,7 +45,7 @@
 class _Record:
     """Crashes and quarantine of one fingerprint."""
 
-    deaths: list[_Death] = dataclasses.field(default_factory=list)
+    deaths: list[_Crash] = dataclasses.field(default_factory=list)
     until_wall_ms: int = 0
 
 
@@ -91,13 +91,13 @@
         """
         now_s, now_ms = self._clock.monotonic_s(), self._clock.wall_ms()
         record = self._get_record(fingerprint)
-        for death in record.deaths:
-            is_recent = now_s - death.seen_s < self._settings.same_death_s
+        for crash in record.deaths:
+            is_recent = now_s - crash.seen_s < self._settings.same_death_s
             if started_s is not None:
-                is_recent = started_s <= death.seen_s
-            if death.target == target_name and is_recent:
+                is_recent = started_s <= crash.seen_s
+            if crash.target == target_name and is_recent:
                 return
-        self._add(fingerprint, record, _Death(target_name, now_ms, now_s))
+        self._add(fingerprint, record, _Crash(target_name, now_ms, now_s))
         if fingerprint not in self._unpublished:
             self._unpublished[fingerprint] = (-now_ms, target_name)
 
@@ -110,7 +110,7 @@
         quarantine a fingerprint forever.
         """
         if until_wall_ms <= 0:
-            self._receive_death(fingerprint, -until_wall_ms, target_name)
+            self._receive_crash(fingerprint, -until_wall_ms, target_name)
             return
         now_ms = self._clock.wall_ms()
         if until_wall_ms <= now_ms:
@@ -132,7 +132,7 @@
             self._records.popitem(last=False)
         return record
 
-    def _receive_death(self, fingerprint: str, wall_ms: int, target_name: str) -> None:
+    def _receive_crash(self, fingerprint: str, wall_ms: int, target_name: str) -> None:
         """Count a crash that another daemon observed, unless it is known already.
 
         Two daemons that run the same request at one target observe the same crash, so
@@ -140,25 +140,25 @@
         """
         record = self._get_record(fingerprint)
         same_ms = self._settings.same_death_s * 1000
-        for death in record.deaths:
-            is_other = death.target and target_name and death.target != target_name
-            if not is_other and abs(death.wall_ms - wall_ms) < same_ms:
+        for crash in record.deaths:
+            is_other = crash.target and target_name and crash.target != target_name
+            if not is_other and abs(crash.wall_ms - wall_ms) < same_ms:
                 return
         if wall_ms < self._clock.wall_ms() - self._settings.memory_s * 1000:
             return
         now_s = self._clock.monotonic_s()
-        self._add(fingerprint, record, _Death(target_name, wall_ms, now_s))
+        self._add(fingerprint, record, _Crash(target_name, wall_ms, now_s))
 
-    def _add(self, fingerprint: str, record: _Record, death: _Death) -> None:
-        record.deaths.append(death)
+    def _add(self, fingerprint: str, record: _Record, crash: _Crash) -> None:
+        record.deaths.append(crash)
         record.deaths = record.deaths[-self._settings.deaths :]
         if self._count(record) < self._settings.deaths:
             return
         until_ms = self._clock.wall_ms() + int(self._settings.duration_s * 1000)
         record.until_wall_ms = max(record.until_wall_ms, until_ms)
-        self._unpublished[fingerprint] = (record.until_wall_ms, death.target)
+        self._unpublished[fingerprint] = (record.until_wall_ms, crash.target)
 
     def _count(self, record: _Record) -> int:
         """Return the number of crashes within the memory time."""
         oldest_s = self._clock.monotonic_s() - self._settings.memory_s
-        return sum(death.seen_s >= oldest_s for death in record.deaths)
+        return sum(crash.seen_s >= oldest_s for crash in record.deaths)
--- a/src/endivevane/online/retrying.py
+++ b/src/endivevane/online/retrying.py
@@ -120,7 +120,7 @@
             return sent.make_quarantine_refusal(remaining_s)
         if delivered_offset >= 0 and not request.is_deterministic:
             metrics.RETRIES_DENIED.labels("partly_delivered").inc()
-            return sent.make_refusal("a part of the answer is delivered already")
+            return sent.make_refusal("part of the answer was delivered already")
         if number >= request.service.model.online.max_attempts:
             metrics.RETRIES_DENIED.labels("max_attempts").inc()
             return sent.make_refusal("no further attempt is allowed")
@@ -138,7 +138,7 @@
             return sent.make_refusal("there is no other target")
         if not self._fleet.services[request.service.name].budget.try_retry():
             metrics.RETRIES_DENIED.labels("budget").inc()
-            return sent.make_refusal("the retry budget is used up")
+            return sent.make_refusal("the retry budget is exhausted")
         metrics.RETRIES.labels(failure.value).inc()
         number = sent.attempt.number + 1
         sent.begin(self._begin_attempt(request, chosen, number))
--- a/src/endivevane/online/routing.py
+++ b/src/endivevane/online/routing.py
@@ -170,11 +170,11 @@
             return None
         # Only the shortest sufficient prefix is looked up per target.
         needed = math.ceil(len(hashes) * self._settings.strong_affinity)
-        pivot = hashes[max(needed, 1) - 1]
+        pivot_hash = hashes[max(needed, 1) - 1]
         matching = [
             state
             for state in tier
-            if pivot in state.prefixes
+            if pivot_hash in state.prefixes
             and may_use(state)
             and state.estimate_load() < state.target.slots
         ]
--- a/src/endivevane/online/scheduler.py
+++ b/src/endivevane/online/scheduler.py
@@ -203,7 +203,7 @@
         sent = self._sent_requests.get(attempt.request.request_id)
         if sent is None or sent.attempt.attempt_id != attempt.attempt_id:
             error = errors.TargetFailed(
-                "the attempt is not known", run_state=types.RunState.MAY_HAVE_RUN
+                "unknown attempt", run_state=types.RunState.MAY_HAVE_RUN
             )
             return contract.Refuse(attempt.request, error)
         sent.record_failure(failure)
--- a/src/endivevane/online/service_state.py
+++ b/src/endivevane/online/service_state.py
@@ -168,6 +168,6 @@
         if wait_s <= remaining_s:
             return None
         return errors.Overloaded(
-            f"the wait of about {wait_s:.1f} s passes the deadline",
+            f"the wait of about {wait_s:.1f} s exceeds the deadline",
             retry_after_s=min(wait_s - remaining_s, _MAX_RETRY_AFTER_S),
         )
--- a/src/endivevane/online/stream.py
+++ b/src/endivevane/online/stream.py
@@ -122,7 +122,7 @@
         return self._engine is not None and self._engine.is_paused
 
     def begin(self, attempt: contract.Attempt) -> None:
-        """Start an attempt from the first event."""
+        """Start a new attempt."""
         self.attempt = attempt
         self.attempts += 1
         self.received = -1
@@ -204,12 +204,14 @@
         if self._is_paused:
             self._caller.close()
             self._abandon_attempt()
-            self._end(stream_states.Outcome.SLOW_CALLER, "the caller does not read")
+            self._end(
+                stream_states.Outcome.SLOW_CALLER, "the caller did not read in time"
+            )
             return
         failure = contract.AttemptFailure.SILENT
         if self.received < 0:
             failure = contract.AttemptFailure.FIRST_TOKEN_TIMEOUT
-        self._fail_attempt(failure, "no event in time")
+        self._fail_attempt(failure, "no event before the timeout")
 
     def fail(self, error: errors.ApiError, outcome: stream_states.Outcome) -> None:
         """Send an error to the caller and cancel the attempt."""
@@ -320,7 +322,7 @@
 
     def _fail_diverged_run(self) -> None:
         error = errors.TargetFailed(
-            "the answer was interrupted and another run of it differs",
+            "the answer was interrupted and a rerun gave a different answer",
             run_state=types.RunState.MAY_HAVE_RUN,
         )
         self.fail(error, stream_states.Outcome.FAILED)
--- a/src/endivevane/online/upstream.py
+++ b/src/endivevane/online/upstream.py
@@ -146,7 +146,7 @@
         headers: abc.Mapping[str, str],
     ) -> None:
         if self._is_unreachable(attempt.target.address):
-            detail = "an earlier call could not connect"
+            detail = "the address was unreachable recently"
             self._post(messages.OpenFailed(attempt, call_number, False, detail))
             return
         self._send(call_number, attempt, call, None, headers)
