--- a/features/support/fuzz_broken.py
+++ b/features/support/fuzz_broken.py
@@ -1,12 +1,12 @@
-"""Broken variants of the scheduler that the fuzzing has to find."""
+"""Broken variants of the scheduler that the fuzzing has to detect."""
 
 from endivevane.online import contract, flights, scheduler
 from endivevane.web import errors
 from features.support import fuzz_scheduler
 
 
-class UntruthfulFlight(flights.Flight):
-    """Broken: a broken connection counts as if nothing had been sent."""
+class UntruthfulSentRequest(flights.SentRequest):
+    """Broken: treats a broken connection as if nothing had been sent."""
 
     __slots__ = ()
 
@@ -16,11 +16,11 @@
 
 
 class UntruthfulScheduler(scheduler.Scheduler):
-    """Makes every flight an untruthful one."""
+    """Replaces every sent request with the broken variant."""
 
     def _send_first(self, state, request, chosen):
         send = super()._send_first(state, request, chosen)
-        self._flights[request.request_id].__class__ = UntruthfulFlight
+        self._sent_requests[request.request_id].__class__ = UntruthfulSentRequest
         return send
 
 
@@ -31,7 +31,7 @@
 
 
 class ForgetfulScheduler(scheduler.Scheduler):
-    """Broken: does not hear that targets are leaving."""
+    """Broken: ignores that targets are draining."""
 
     def set_leaving(self, target_names):
         return None
