--- a/src/endivevane/cluster/__init__.py
+++ b/src/endivevane/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between daemons and the task that owns them."""
+"""Membership, messages between daemons and the configuration feed."""
--- a/src/endivevane/cluster/calls.py
+++ b/src/endivevane/cluster/calls.py
@@ -1,4 +1,4 @@
-"""Blocking calls on behalf of the cluster thread."""
+"""Runs blocking calls on behalf of the cluster thread."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 class BackgroundCalls:
     """Runs at most one blocking call of each kind, in a small pool of threads.
 
-    A slow table service thereby delays neither probes nor calls of other kinds.
+    A slow table service therefore delays neither probes nor calls of other kinds.
 
-    :param post: takes the outcome; called on a thread of the pool
+    :param post: called with the outcome, on a thread of the pool
     """
 
     def __init__(self, post: abc.Callable[[CallFinished], None]) -> None:
@@ -39,11 +39,11 @@
         self._running: set[str] = set()
 
     def is_running(self, kind: str) -> bool:
-        """Tell whether a call of this kind is under way."""
+        """Return whether a call of this kind is in progress."""
         return kind in self._running
 
     def start(self, kind: str, function: abc.Callable[[], typing.Any]) -> bool:
-        """Run a function unless a call of its kind is under way."""
+        """Run a function unless a call of its kind is in progress."""
         if kind in self._running:
             return False
         self._running.add(kind)
@@ -51,11 +51,11 @@
         return True
 
     def finish(self, kind: str) -> None:
-        """Allow the next call of a kind; called when its outcome was received."""
+        """Allow the next call of a kind; called once its outcome is received."""
         self._running.discard(kind)
 
     def close(self) -> None:
-        """Drop the calls that have not begun."""
+        """Cancel the calls that have not started."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _run(self, kind: str, function: abc.Callable[[], typing.Any]) -> None:
@@ -63,6 +63,6 @@
         try:
             outcome = function()
         except Exception as error:
-            # The kind must become free again, whatever a document or answer contained.
+            # Without a posted outcome, no call of this kind could ever start again.
             logs.error("cluster_call_failed", kind=kind, error=repr(error))
         self._post(CallFinished(kind, outcome))
--- a/src/endivevane/cluster/confirmations.py
+++ b/src/endivevane/cluster/confirmations.py
@@ -1,4 +1,4 @@
-"""Confirmation of a configuration revision by all daemons of a zone."""
+"""Confirms a configuration revision once all daemons of a zone have applied it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from endivevane.coordination import feed, gossip_messages, members, store
 
 WRITE = "config_ack"
-_REPEAT_S = 2.0
-_CHECK_S = 0.5
+_RETRY_S = 2.0
+_CHECK_INTERVAL_S = 0.5
 
 
 class ZoneConfirmations:
-    """Reports to the zone's gateway, or acts as it; runs on the cluster thread.
+    """Reports applied revisions to the zone's gateway, or confirms them as gateway.
 
-    :param peers: members and connections
+    Runs on the cluster thread.
+
+    :param peers: other daemons and the connections to them
     :param table_store: where the confirmation is written
     :param background: runs the blocking calls
     """
@@ -32,17 +34,17 @@
         self._background = background
         self._applied: dict[str, int] = {}
         self._reported: tuple[str, int] | None = None
-        self._repeat_at_s = 0.0
-        self._check_at_s = 0.0
+        self._report_due_s = 0.0
+        self._check_due_s = 0.0
         self._written = 0
         self._has_failed = False
 
     def record_applied(self, header: gossip_messages.Header) -> None:
-        """Remember the revision in force at the sender of a message."""
+        """Record the revision that the sender of a message has applied."""
         self._applied[header.sender] = header.applied_revision
 
     def list_holders(self, revision: int) -> list[str]:
-        """Return members that are known to have a revision in force."""
+        """Return the members known to have applied at least this revision."""
         table = self._peers.detector.table
         holders: list[str] = []
         for name, applied in self._applied.items():
@@ -54,12 +56,12 @@
         return holders
 
     def run(self, now_s: float) -> None:
-        """Report, or confirm for the zone, when something is due."""
+        """Report to the gateway, or confirm for the zone, when due."""
         detector = self._peers.detector
         me = detector.me
-        if now_s < self._check_at_s or detector.applied_revision == 0:
+        if now_s < self._check_due_s or detector.applied_revision == 0:
             return
-        self._check_at_s = now_s + _CHECK_S
+        self._check_due_s = now_s + _CHECK_INTERVAL_S
         gateway = detector.find_gateway(me.description.zone)
         if gateway == me.name:
             self._confirm()
@@ -67,19 +69,19 @@
         if gateway is None:
             return
         report = (gateway, detector.applied_revision)
-        if report == self._reported or now_s < self._repeat_at_s:
+        if report == self._reported or now_s < self._report_due_s:
             return
-        self._repeat_at_s = now_s + _REPEAT_S
+        self._report_due_s = now_s + _RETRY_S
         message = messages.ConfigApplied(self._peers.make_header(), is_answer=False)
         self._peers.send(gateway, message)
 
     def handle(self, message: messages.ConfigApplied) -> None:
-        """Answer a report, or take note of an answer."""
+        """Answer a member's report, or record the gateway's answer."""
         header = message.header
         if message.is_answer:
-            # The gateway echoes the revision that it has recorded for this daemon.
+            # The answer carries the revision that the gateway recorded for this daemon.
             self._reported = (header.sender, message.revision)
-            self._repeat_at_s = 0.0
+            self._report_due_s = 0.0
             return
         answer = messages.ConfigApplied(
             self._peers.make_header(), True, header.applied_revision
@@ -94,7 +96,7 @@
             if not self._has_failed:
                 logs.warning("config_ack_failed", error=outcome and outcome.err_value)
             self._has_failed = True
-            self._check_at_s += _REPEAT_S
+            self._check_due_s += _RETRY_S
             return
         self._has_failed = False
         self._written = max(self._written, outcome.ok_value)
--- a/src/endivevane/cluster/counts.py
+++ b/src/endivevane/cluster/counts.py
@@ -1,4 +1,4 @@
-"""Counters of messages between daemons."""
+"""Counters of messages and connections between daemons."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class MessageCounts:
-    """Messages and bytes of one transport, by direction and kind."""
+    """Counts of one transport: messages, bytes, drops and closed connections."""
 
     def __init__(self) -> None:
         self.messages: collections.Counter[tuple[str, str]] = collections.Counter()
@@ -48,14 +48,14 @@
         _BYTES.labels(kind, direction).inc(size_bytes)
 
     def record_dropped(self, reason: str) -> None:
-        """Count a message that was not processed or not sent."""
+        """Count a message that was dropped before processing or sending."""
         self.dropped[reason] += 1
         _DROPPED.labels(reason).inc()
 
     def record_closed(self, direction: str) -> None:
-        """Count a connection that was closed because of its key.
+        """Count a connection closed because its key is no longer allowed.
 
-        :param direction: ``in`` when the peer opened it, else ``out``
+        :param direction: ``in`` when the peer opened it, otherwise ``out``
         """
         self.closed[direction] += 1
         _CLOSED.labels(direction).inc()
--- a/src/endivevane/cluster/events.py
+++ b/src/endivevane/cluster/events.py
@@ -1,4 +1,4 @@
-"""Events that a cluster task reports to its subscribers."""
+"""Events that a cluster task publishes to its subscribers."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationChanged:
-    """A higher configuration revision is in force."""
+    """A higher configuration revision was applied."""
 
     snapshot: snapshot.Snapshot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """Members were added or changed.
+    """Members joined or changed state.
 
-    :param changed: the members concerned, in their new state
+    :param changed: the affected members, in their new state
     """
 
     changed: tuple[members.Member, ...]
@@ -28,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmsChanged:
-    """The set of VMs that the platform lists as leaving has changed."""
+    """The set of VMs that the platform lists as leaving changed."""
 
     leaving: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another daemon for some part of this one."""
+    """An application message from another daemon."""
 
     sender: str
     kind: str
--- a/src/endivevane/cluster/follower.py
+++ b/src/endivevane/cluster/follower.py
@@ -1,4 +1,4 @@
-"""Follows the configuration head and puts documents into force."""
+"""Follows the configuration head and applies its documents."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 HEAD = "config_head"
 FETCH = "config_fetch"
 BUILD = "config_build"
-# One read of the head every 30 ms in the whole cluster notices a change at once while
-# it stays far below the read limit of the table service.
+# One read of the head every 30 ms across the cluster detects a change promptly and
+# stays far below the read limit of the table service.
 _CLUSTER_POLLS_PER_S = 34.0
-_SHORTEST_POLL_S = 1.0
-# Daemons fetch a changed document within a window that keeps their reads below a
+_MIN_POLL_INTERVAL_S = 1.0
+# Fetches of a changed document are spread over a window that keeps reads below a
 # quarter of the table service's limit.
 _CLUSTER_FETCHES_PER_S = 170.0
 _RETRY_S = 1.0
-# Reading hundreds of documents one by one costs the table service as many reads for
-# each daemon that starts; a peer sends them in one message.
-_PEER_HEAD_START_S = 2.0
+# A starting daemon asks a peer first: the peer sends all documents in one message,
+# while the table service would serve hundreds of single reads.
+_PEER_FETCH_DELAY_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Built:
-    """Documents of a revision and what was made of them.
+    """Documents of a revision and the snapshot built from them.
 
-    :param is_from_store: whether the documents are those of the table service's head
+    :param is_from_store: whether the documents were read from the table service
     :param started_s: monotonic time before they were read
     """
 
@@ -57,14 +57,15 @@
 
 
 class ConfigurationFollower:
-    """Keeps the newest configuration in force; runs on the cluster thread.
+    """Applies the newest configuration; runs on the cluster thread.
 
     :param zone: zone of this daemon
     :param follower_clock: only its monotonic part is used
-    :param table_store: where the configuration is
+    :param table_store: store of the configuration
     :param background: runs the blocking calls
     :param generator: source of jitter
-    :param longest_pause_s: a pause above this one asks for a new confirmation
+    :param longest_pause_s: after a longer pause of the process, the
+        revision must be confirmed as current again
     """
 
     def __init__(
@@ -84,31 +85,31 @@
         self.documents = publishing.NO_DOCUMENTS
         self.snapshot = snapshot.EMPTY
         self.has_store_failed = False
-        self._poll_at_s = follower_clock.monotonic_s()
-        self._fetch_at_s: float | None = None
+        self._poll_due_s = follower_clock.monotonic_s()
+        self._fetch_due_s: float | None = None
 
     def run(self, now_s: float, cluster_size: int, has_holder: bool) -> None:
         """Start the calls that are due.
 
-        :param has_holder: whether a peer has the highest known revision in force; a
-            daemon that has no document yet gives it time to send all of them at once
+        :param has_holder: whether a peer has applied the highest known revision; a
+            daemon without documents then delays its own fetch for the peer's answer
         """
         self.feed.check_pause()
-        if now_s >= self._poll_at_s and self._background.start(HEAD, self._read_head):
-            interval_s = max(_SHORTEST_POLL_S, cluster_size / _CLUSTER_POLLS_PER_S)
-            self._poll_at_s = now_s + interval_s * self._random.uniform(0.8, 1.2)
+        if now_s >= self._poll_due_s and self._background.start(HEAD, self._read_head):
+            interval_s = max(_MIN_POLL_INTERVAL_S, cluster_size / _CLUSTER_POLLS_PER_S)
+            self._poll_due_s = now_s + interval_s * self._random.uniform(0.8, 1.2)
         if not self.feed.needs_fetch():
-            self._fetch_at_s = None
+            self._fetch_due_s = None
             return
-        if self._fetch_at_s is None:
+        if self._fetch_due_s is None:
             window_s = cluster_size / _CLUSTER_FETCHES_PER_S
-            self._fetch_at_s = now_s + self._random.uniform(0, window_s)
+            self._fetch_due_s = now_s + self._random.uniform(0, window_s)
             if has_holder and self.feed.applied_revision == 0:
-                self._fetch_at_s += _PEER_HEAD_START_S
-        if now_s >= self._fetch_at_s:
+                self._fetch_due_s += _PEER_FETCH_DELAY_S
+        if now_s >= self._fetch_due_s:
             known = self.documents
             if self._background.start(FETCH, lambda: self._fetch(known)):
-                self._fetch_at_s = now_s + _RETRY_S
+                self._fetch_due_s = now_s + _RETRY_S
 
     def record_head(self, read: HeadRead | None) -> None:
         """Apply the outcome of a read of the head."""
@@ -123,7 +124,7 @@
     def record_built(
         self, outcome: result.Result[Built, store.StoreError] | None
     ) -> bool:
-        """Put fetched documents into force; tell whether they are newer."""
+        """Apply fetched documents; return whether they are newer."""
         if outcome is None or isinstance(outcome, result.Err):
             self.has_store_failed = True
             if outcome is not None:
@@ -143,7 +144,7 @@
     def make_rows(
         self, header: typing.Any, versions: abc.Mapping[str, int]
     ) -> messages.ConfigRows:
-        """Return the documents in force that a peer lacks."""
+        """Return the applied documents that a peer lacks."""
         documents = self.documents.documents
         return messages.ConfigRows(
             header,
@@ -158,11 +159,11 @@
         )
 
     def list_versions(self) -> dict[str, int]:
-        """Return the version of each document in force."""
+        """Return the version of each applied document."""
         return {key: item.version for key, item in self.documents.documents.items()}
 
     def accept_rows(self, rows: messages.ConfigRows) -> None:
-        """Build what a peer sent, if it is newer."""
+        """Build a snapshot from a peer's documents if they are newer."""
         known = self.documents
         if rows.revision > self.feed.applied_revision:
             started_s = self._clock.monotonic_s()
@@ -187,13 +188,15 @@
 def _build(
     documents: publishing.Documents, is_from_store: bool, started_s: float
 ) -> result.Result[Built, store.StoreError]:
-    """Parse documents; those that this version can't read leave the old in force."""
+    """Build a snapshot; return an error for documents that can't be parsed."""
     content = {key: item.document for key, item in documents.documents.items()}
     try:
         built = snapshot.build_snapshot(documents.revision, content)
     except (pydantic.ValidationError, KeyError, ValueError) as error:
         logs.error("config_invalid", revision=documents.revision, error=error)
-        return result.Err(store.StoreUnavailable("documents can't be parsed"))
+        return result.Err(
+            store.StoreUnavailable("configuration documents can't be parsed")
+        )
     return result.Ok(Built(documents, built, is_from_store, started_s))
 
 
@@ -202,15 +205,15 @@
 ) -> result.Result[Built, store.StoreError]:
     documents: dict[str, publishing.VersionedDocument] = {}
     for key, version in rows.versions.items():
-        have = known.documents.get(key)
+        held = known.documents.get(key)
         if key in rows.documents:
             content = rows.documents[key]
             documents[key] = publishing.VersionedDocument(version, content)
-        elif have is not None and have.version == version:
-            documents[key] = have
+        elif held is not None and held.version == version:
+            documents[key] = held
         else:
-            return result.Err(store.StoreUnavailable(f"peer left out {key}"))
-    whole = publishing.Documents(
+            return result.Err(store.StoreUnavailable(f"peer sent no document {key}"))
+    complete = publishing.Documents(
         rows.revision, publishing.HeadState(rows.state), documents
     )
-    return _build(whole, False, started_s)
+    return _build(complete, False, started_s)
--- a/src/endivevane/cluster/inbound.py
+++ b/src/endivevane/cluster/inbound.py
@@ -1,4 +1,4 @@
-"""What the library tells of a connection that a peer opened, and how to close it."""
+"""Inspects and closes connections that peers opened."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 def read_user_id(frame: zmq.Frame) -> str:
-    """Return the key of the connection that a frame came on, empty without keys."""
-    # The library's type hints know integer options only.
+    """Return the public key of a frame's connection, or an empty string."""
+    # The type hints of pyzmq cover integer options only.
     read: abc.Callable[[typing.Any], typing.Any] = frame.get
     try:
         return str(read("User-Id"))
@@ -20,7 +20,7 @@
 
 
 def read_descriptor(frame: zmq.Frame) -> int:
-    """Return the file descriptor of the connection that a frame came on, or -1."""
+    """Return the file descriptor of a frame's connection, or -1."""
     read: abc.Callable[[typing.Any], typing.Any] = frame.get
     try:
         return int(read(zmq.SRCFD))
@@ -29,10 +29,10 @@
 
 
 def close_connection(descriptor: int, listen_address: str) -> bool:
-    """Shut down an accepted connection, and tell whether it was open.
+    """Shut down an accepted connection; return whether it was open.
 
-    The library has no call for this. The descriptor may have been closed and reused
-    since; one that is not an accepted connection of the address is left alone.
+    ZeroMQ has no call for this. The descriptor may have been closed and reused
+    since, so it is shut down only if it was accepted on the listen address.
 
     :param listen_address: ``host:port`` that the connection was accepted on
     """
@@ -41,7 +41,7 @@
     port = listen_address.rpartition(":")[2]
     try:
         with socket.fromfd(descriptor, socket.AF_INET, socket.SOCK_STREAM) as accepted:
-            # Fails for a listening socket and for one that is shut down.
+            # Raises OSError for a listening socket and for one already shut down.
             accepted.getpeername()
             address = accepted.getsockname()
             if not isinstance(address, tuple) or str(address[1]) != port:
--- a/src/endivevane/cluster/key_names.py
+++ b/src/endivevane/cluster/key_names.py
@@ -1,4 +1,4 @@
-"""Which daemon names a CURVE key may speak for."""
+"""Binds CURVE keys to the daemon names that may use them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class KeyNames:
-    """Compares the sender's name in a message with the key of its connection.
+    """Checks the sender's name in a message against the key of its connection.
 
-    A key that is listed under names speaks for these only. Another allowed key speaks
-    for every name that is not listed, so that names can be listed one by one.
+    A key listed under some names may use only these names. Any other allowed key may
+    use every name that is not listed, so that names can be bound one at a time.
 
     :param settings: the daemon's settings
     """
@@ -27,11 +27,11 @@
                 self._names.setdefault(key, set()).add(name)
 
     def may_send(self, message: messages.Message, public_key: str) -> bool:
-        """Tell whether the key may send this message.
+        """Return whether the key may send this message.
 
-        A broadcast is passed on by others, so that its origin can't be compared.
+        Broadcasts are forwarded by other daemons, so their origin is not checked.
 
-        :param public_key: key that the peer has proved to hold
+        :param public_key: key whose possession the peer has proved
         """
         if not self._has_keys:
             return True
@@ -40,10 +40,10 @@
             case messages.Application(broadcast_id="", origin=origin):
                 if origin != sender:
                     return False
-        return self.may_speak(sender, public_key)
+        return self.is_authorised(sender, public_key)
 
-    def may_speak(self, name: str, public_key: str) -> bool:
-        """Tell whether a key that is allowed may be used by this daemon."""
+    def is_authorised(self, name: str, public_key: str) -> bool:
+        """Return whether an allowed key may be used under this daemon name."""
         if not self._has_keys:
             return True
         if name in self._listed:
--- a/src/endivevane/cluster/link_shares.py
+++ b/src/endivevane/cluster/link_shares.py
@@ -1,4 +1,4 @@
-"""This daemon's share of the link between the regions, by need."""
+"""Computes this daemon's share of the inter-region link, by need."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from endivevane.coordination import clock, shares
 
 _ENTRIES_PER_MESSAGE = 4
-# Every routing decision asks for the share, and a division costs more than the rest.
-_SHARE_AGE_S = 0.1
+# Every routing decision reads the share, and recomputing it would dominate its cost.
+_SHARE_CACHE_S = 0.1
 
 
 class LinkShares:
-    """A share allocator for the threads of a daemon.
+    """A thread-safe share allocator for a daemon.
 
-    The cluster thread carries the announcements; any thread asks for the share.
+    The cluster thread exchanges announcements; any thread may read the share.
 
-    :param measure_need: returns what this daemon uses or asks for, and the rate that
-        all share, in bytes a second
+    :param measure_need: returns the rate that this daemon uses or requests, and the
+        rate that all daemons share, in bytes per second
     """
 
     def __init__(
@@ -35,17 +35,17 @@
         # Rate, share and time of the last computation.
         self._computed = (0.0, 0.0, 0.0)
         self._lock = threading.Lock()
-        # A restarted daemon goes on with higher numbers: one a millisecond is more
-        # than it announces.
+        # Starting from the wall clock gives a restarted daemon higher versions than
+        # before, since it announces less than once per millisecond.
         self._allocator = shares.ShareAllocator(
             daemon, self._settings, shares_clock, shares_clock.wall_ms()
         )
 
     def compute_share(self, rate_bytes_s: float) -> float:
-        """Return this daemon's part of a rate that all daemons share."""
+        """Return this daemon's share of a rate that all daemons share."""
         now_s = self._clock.monotonic_s()
         known_rate_bytes_s, share_bytes_s, computed_s = self._computed
-        if known_rate_bytes_s == rate_bytes_s and now_s - computed_s < _SHARE_AGE_S:
+        if known_rate_bytes_s == rate_bytes_s and now_s - computed_s < _SHARE_CACHE_S:
             return share_bytes_s
         with self._lock:
             share_bytes_s = self._allocator.compute_share(rate_bytes_s)
@@ -53,17 +53,17 @@
         return share_bytes_s
 
     def compute_even_share(self, rate_bytes_s: float) -> float:
-        """Return the part of a daemon if all had the same."""
+        """Return the share of each daemon if all shares were equal."""
         return rate_bytes_s / self._members
 
     def set_members(self, alive: abc.Collection[str], known_count: int) -> None:
-        """Set the live members, see :meth:`shares.ShareAllocator.set_members`."""
+        """Set the alive members, see :meth:`shares.ShareAllocator.set_members`."""
         self._members = max(1, len(alive))
         with self._lock:
             self._allocator.set_members(alive, known_count)
 
     def receive(self, needs: abc.Collection[shares.Need]) -> None:
-        """Take in announcements of other daemons."""
+        """Apply announcements from other daemons."""
         with self._lock:
             for need in needs:
                 self._allocator.receive(need)
@@ -72,10 +72,10 @@
         """Return the announcements for the next message."""
         need, rate_bytes_s = self._measure_need()
         floor_bytes_s = self.compute_even_share(rate_bytes_s)
-        # A need that the floor covers is not worth a message.
+        # A need that the floor share covers is not announced.
         if need <= floor_bytes_s * self._settings.floor_share:
             need = 0.0
-        # A share grows only while it is asked for.
+        # A share grows only while it is requested, so request it once per message.
         self.compute_share(rate_bytes_s)
         with self._lock:
             self._allocator.set_need(need)
--- a/src/endivevane/cluster/messages.py
+++ b/src/endivevane/cluster/messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons and their codec."""
+"""Defines the messages between daemons and their codec."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from endivevane.coordination import gossip_messages, members, shares
 
 MAX_MESSAGE_BYTES = 2 << 20
-_MAX_UPDATES = 2000
-_MAX_NAME = 64
+_MAX_LIST_ITEMS = 2000
+_MAX_NAME_LENGTH = 64
 _MAX_NUMBER = 1 << 62
 
 APPLICATION_KINDS = frozenset(
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigAsk:
-    """Asks which revision the receiver has in force."""
+    """Asks which revision the receiver has applied."""
 
     header: gossip_messages.Header
 
@@ -33,7 +33,7 @@
 class ConfigStatus:
     """Answers :class:`ConfigAsk`; the revision is in the header.
 
-    :param is_current: whether the sender knows its revision to be current
+    :param is_current: whether the sender's revision is known to be current
     """
 
     header: gossip_messages.Header
@@ -42,9 +42,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigGet:
-    """Asks for documents that are newer than those known.
+    """Requests documents that are newer than the sender's.
 
-    :param versions: version by document key that the sender has
+    :param versions: the sender's version of each document, by key
     """
 
     header: gossip_messages.Header
@@ -56,7 +56,7 @@
     """Documents of one revision.
 
     :param versions: version of every document of the revision
-    :param documents: content of those that the receiver lacked
+    :param documents: content of the documents that the receiver lacked
     """
 
     header: gossip_messages.Header
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigApplied:
-    """Tells the gateway of the zone which revision is in force at the sender.
+    """Reports the sender's applied revision to the gateway of its zone.
 
     :param is_answer: whether this is the gateway's answer
     :param revision: in an answer, the revision that the gateway has recorded
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmsLeaving:
-    """Names of leaving VMs, from a daemon that reads the platform's list.
+    """Names of leaving VMs, from a daemon that polls the platform's list.
 
     :param as_of_s: wall time of the list, on the platform's clock
     """
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LinkNeeds:
-    """What daemons need of the link between the regions."""
+    """Rates that daemons need on the link between the regions."""
 
     header: gossip_messages.Header
     needs: tuple[shares.Need, ...]
@@ -101,10 +101,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Application:
-    """A message of another part of the daemon.
+    """A message that another component of the daemon exchanges.
 
-    :param origin: the daemon that sent it first
-    :param broadcast_id: names a broadcast, which every receiver passes on once; empty
+    :param origin: the daemon that created the message
+    :param broadcast_id: id of a broadcast, which every receiver forwards once; empty
         for a message to one daemon
     """
 
@@ -150,7 +150,7 @@
     :raises exceptions.ProtocolError: when the bytes are not a valid message
     """
     if len(data) > MAX_MESSAGE_BYTES:
-        raise exceptions.ProtocolError("peer", f"{len(data)} bytes")
+        raise exceptions.ProtocolError("peer", f"message too large: {len(data)} bytes")
     try:
         envelope = orjson.loads(data)
         kind, sender, incarnation, known, applied, updates, *fields = envelope
@@ -262,17 +262,17 @@
 
 def _encode_update(update: members.Update) -> list[typing.Any]:
     fields: list[typing.Any] = [update.name, update.incarnation, int(update.state)]
-    place = update.description
-    if place is not None:
-        fields += [place.address, place.zone, place.region, place.public_key]
+    details = update.description
+    if details is not None:
+        fields += [details.address, details.zone, details.region, details.public_key]
     return fields
 
 
 def _decode_update(item: list[typing.Any]) -> members.Update:
-    name, incarnation, state, *place = item
+    name, incarnation, state, *details = item
     description = None
-    if place:
-        address, zone, region, public_key = place
+    if details:
+        address, zone, region, public_key = details
         description = members.Description(
             _check_name(address),
             _check_name(zone),
@@ -288,7 +288,7 @@
 
 
 def _decode_needs(header: gossip_messages.Header, needs: typing.Any) -> LinkNeeds:
-    found = []
+    decoded = []
     for name, version, need, weight in _check_list(needs):
         if not weight > 0:
             raise ValueError(f"weight {weight!r}")
@@ -298,8 +298,8 @@
             float(_check_number(need)),
             float(weight),
         )
-        found.append(item)
-    return LinkNeeds(header, tuple(found))
+        decoded.append(item)
+    return LinkNeeds(header, tuple(decoded))
 
 
 def _decode_rows(
@@ -350,9 +350,9 @@
 }
 
 
-def _check_text(value: typing.Any, longest: int = _MAX_NAME) -> str:
-    if not isinstance(value, str) or len(value) > longest:
-        raise TypeError("not a short text")
+def _check_text(value: typing.Any, max_length: int = _MAX_NAME_LENGTH) -> str:
+    if not isinstance(value, str) or len(value) > max_length:
+        raise TypeError("not a string, or too long")
     return value
 
 
@@ -362,21 +362,21 @@
     return str(value)
 
 
-def _check_number(value: typing.Any, bound: int = _MAX_NUMBER) -> int:
-    if type(value) is not int or not 0 <= value < bound:
-        raise TypeError("not a number in range")
+def _check_number(value: typing.Any, limit: int = _MAX_NUMBER) -> int:
+    if type(value) is not int or not 0 <= value < limit:
+        raise TypeError("not an integer in range")
     return value
 
 
 def _check_list(value: typing.Any) -> list[typing.Any]:
-    if not isinstance(value, list) or len(value) > _MAX_UPDATES:
-        raise TypeError("not a bounded list")
+    if not isinstance(value, list) or len(value) > _MAX_LIST_ITEMS:
+        raise TypeError("not a list, or too many items")
     return value
 
 
 def _check_dict(value: typing.Any) -> dict[str, typing.Any]:
     if not isinstance(value, dict):
-        raise TypeError("not an object")
+        raise TypeError("not a JSON object")
     return value
 
 
--- a/src/endivevane/cluster/neighbours.py
+++ b/src/endivevane/cluster/neighbours.py
@@ -1,4 +1,4 @@
-"""The failure detector together with the transport that carries its messages."""
+"""Connects the failure detector to the transport that carries its messages."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Scan:
-    """All session rows, and when they were read."""
+class SessionScan:
+    """All session rows and the time around their read."""
 
     outcome: result.Result[list[store.Row], store.StoreError]
     started_s: float
@@ -40,7 +40,7 @@
 
     :param settings: the daemon's settings
     :param peer_clock: only its monotonic part is used
-    :param table_store: source of the first addresses
+    :param table_store: source of the addresses to join through
     :param background: runs the blocking calls
     :param generator: source of random choices
     :param peer_transport: carries the messages
@@ -61,14 +61,14 @@
         self._background = background
         self._random = generator
         self._transport = peer_transport
-        self._join_at_s = peer_clock.monotonic_s()
-        self._scan_at_s = self._join_at_s
-        self._key_turn = 0
+        self._join_due_s = peer_clock.monotonic_s()
+        self._scan_due_s = self._join_due_s
+        self._key_index = 0
         self._observer = lease.SessionObserver(
             settings.session.term_s * _OBSERVER_MARGIN_SHARE, peer_clock
         )
         self._rows: list[store.Row] = []
-        self._seen: set[str] = set()
+        self._scanned_names: set[str] = set()
         daemon = settings.daemon
         public_key = settings.keys.public if settings.keys is not None else ""
         self.detector = membership.FailureDetector(
@@ -82,38 +82,38 @@
         )
 
     def run(self, now_s: float) -> None:
-        """Join through seeds while alone, and read the sessions when it is due."""
+        """Join through seeds while alone, and scan the sessions when due."""
         is_alone = len(self.detector.table) <= 1
-        if is_alone and now_s >= self._join_at_s:
-            self._join_at_s = now_s + _JOIN_INTERVAL_S
+        if is_alone and now_s >= self._join_due_s:
+            self._join_due_s = now_s + _JOIN_INTERVAL_S
             self._join()
-        if now_s < self._scan_at_s or not (is_alone or self.detector.is_gateway()):
+        if now_s < self._scan_due_s or not (is_alone or self.detector.is_gateway()):
             return
         if self._background.start(sessions.SCAN, self._scan):
             term_s = self._settings.session.term_s
-            self._scan_at_s = now_s + (min(1.0, term_s) if is_alone else term_s / 2)
+            self._scan_due_s = now_s + (min(1.0, term_s) if is_alone else term_s / 2)
 
-    def record_scan(self, scan: Scan | None) -> None:
-        """Apply the outcome of reading all sessions."""
+    def record_scan(self, scan: SessionScan | None) -> None:
+        """Apply the outcome of a session scan."""
         if scan is None or isinstance(scan.outcome, result.Err):
             return
         self._rows = scan.outcome.ok_value
         present = {row.key for row in self._rows}
-        for name in self._seen - present:
+        for name in self._scanned_names - present:
             self._observer.forget(name)
-        self._seen = present
+        self._scanned_names = present
         for row in self._rows:
             self._observer.observe(row.key, row, scan.started_s, scan.finished_s)
-        lapsed = self._observer.list_expired()
-        for name in lapsed:
-            self._report_lapsed(name)
-        self._meet_strangers(lapsed)
+        expired = self._observer.list_expired()
+        for name in expired:
+            self._report_expired(name)
+        self._contact_unregistered(expired)
 
     def list_zones(self, listed: frozenset[str] | None) -> dict[str, str]:
         """Return the zone of every other listed daemon.
 
-        A dead daemon counts until the platform no longer lists it, and a seed that no
-        member is known for counts as one of the own zone: either may hold a higher
+        A dead daemon counts until the platform no longer lists it, and a seed without
+        a known member counts as a daemon of the own zone: either may have a higher
         configuration revision.
 
         :param listed: names in the platform's list of VMs; ``None`` when unknown
@@ -124,8 +124,8 @@
         for member in self.detector.table:
             addresses.add(member.description.address)
             is_unlisted = listed is not None and member.name not in listed
-            is_gone = member.state is _DEAD and is_unlisted
-            if member.name == me.name or is_gone:
+            is_removed = member.state is _DEAD and is_unlisted
+            if member.name == me.name or is_removed:
                 continue
             zones[member.name] = member.description.zone
         for seed in self._settings.membership.seeds:
@@ -144,9 +144,9 @@
         )
 
     def flush(self) -> None:
-        """Send what the failure detector wants to send."""
+        """Send the queued messages of the failure detector."""
         for name in self.detector.take_reconnects():
-            self._transport.drop_silent(name)
+            self._transport.drop_unresponsive(name)
         for outgoing in self.detector.take_outgoing():
             prefer_route = isinstance(
                 outgoing.message, gossip_messages.Ack | gossip_messages.SyncRows
@@ -156,7 +156,7 @@
     def send(
         self, name: str, message: messages.Message, prefer_route: bool = False
     ) -> None:
-        """Send to a member or seed; opens a connection when there is none."""
+        """Send to a member or seed, and open a connection if there is none."""
         if name == self.detector.me.name:
             return
         if not prefer_route:
@@ -166,35 +166,35 @@
         self._connect(name)
         self._transport.send(name, message)
 
-    def send_to_links(self, message: messages.Message, besides: str = "") -> None:
+    def send_to_links(self, message: messages.Message, excluded: str = "") -> None:
         """Send to the members that this daemon exchanges probes with."""
         for name in self.detector.list_links():
-            if name != besides:
+            if name != excluded:
                 self.send(name, message)
 
     def forward(self, message: messages.Application | messages.VmsLeaving) -> None:
-        """Pass a broadcast on to all links but the one that it came from."""
+        """Forward a broadcast to all links except the one it came from."""
         forwarded = dataclasses.replace(message, header=self.make_header())
-        self.send_to_links(forwarded, besides=message.header.sender)
+        self.send_to_links(forwarded, excluded=message.header.sender)
 
     def _connect(self, name: str) -> None:
         if name.startswith(transport.SEED_PREFIX):
             address = name.removeprefix(transport.SEED_PREFIX)
             if not self._transport.is_connected(name):
-                self._transport.connect(name, address, self._guess_key(address))
+                self._transport.connect(name, address, self._select_key(address))
             return
         member = self.detector.table.get(name)
         if member is not None:
-            place = member.description
-            self._transport.connect(name, place.address, place.public_key)
+            peer = member.description
+            self._transport.connect(name, peer.address, peer.public_key)
 
     def replace_keys(self, keys: daemon_settings.KeysSection) -> None:
-        """Take over lists of allowed keys; connections with other keys are closed."""
+        """Replace the allowed keys and close connections with other keys."""
         self._settings = self._settings.model_copy(update={"keys": keys})
         self._transport.replace_keys(keys)
 
-    def _guess_key(self, address: str) -> str:
-        """Return the key of a seed: from its session row, or the allowed in turn."""
+    def _select_key(self, address: str) -> str:
+        """Return a seed's key: from its session row, else the next allowed key."""
         keys = self._settings.keys
         if keys is None:
             return ""
@@ -203,8 +203,8 @@
                 return str(row.value.get("public_key", ""))
         named = itertools.chain.from_iterable(keys.peers.values())
         candidates = list(dict.fromkeys((keys.public, *keys.peer_public, *named)))
-        self._key_turn += 1
-        return candidates[self._key_turn % len(candidates)]
+        self._key_index += 1
+        return candidates[self._key_index % len(candidates)]
 
     def _join(self) -> None:
         own = self._settings.daemon.cluster_listen
@@ -215,28 +215,28 @@
         for address in self._random.sample(others, count):
             self._contact(address)
 
-    def _meet_strangers(self, lapsed: list[str]) -> None:
-        """Contact daemons that renew their session but are not known as alive."""
-        strangers: list[str] = []
+    def _contact_unregistered(self, expired: list[str]) -> None:
+        """Contact daemons that renew their session but are not alive members."""
+        unregistered: list[str] = []
         for row in self._rows:
             member = self.detector.table.get(row.key)
             is_known = member is not None and member.state is not _DEAD
-            if is_known or row.key in lapsed or row.key == self.detector.me.name:
+            if is_known or row.key in expired or row.key == self.detector.me.name:
                 continue
-            strangers.append(str(row.value.get("gossip_address", "")))
-        count = min(_JOIN_CONTACTS, len(strangers))
-        for address in self._random.sample(strangers, count):
+            unregistered.append(str(row.value.get("gossip_address", "")))
+        count = min(_JOIN_CONTACTS, len(unregistered))
+        for address in self._random.sample(unregistered, count):
             self._contact(address)
 
     def _contact(self, address: str) -> None:
-        """Ask a daemon for its table by its address alone."""
+        """Request the member table of a daemon known only by its address."""
         name = transport.SEED_PREFIX + address
-        # A wrong key shows as silence, so each try may need another connection.
-        self._transport.drop_silent(name)
+        # A wrong key gets no answer, so each attempt may need a new connection.
+        self._transport.drop_unresponsive(name)
         self.detector.join(name)
 
-    def _report_lapsed(self, name: str) -> None:
-        """Report a lapse as death where no watcher of its region can be heard."""
+    def _report_expired(self, name: str) -> None:
+        """Report an expired session as dead if its region is unresponsive."""
         member = self.detector.table.get(name)
         if member is None or member.state is _DEAD:
             return
@@ -245,16 +245,16 @@
         if not self.detector.was_region_seen(member.description.region):
             self.detector.report_session_expired(name)
 
-    def _scan(self) -> Scan:
+    def _scan(self) -> SessionScan:
         started_s = self._clock.monotonic_s()
         outcome = sessions.scan_sessions(self._store)
-        return Scan(outcome, started_s, self._clock.monotonic_s())
+        return SessionScan(outcome, started_s, self._clock.monotonic_s())
 
 
 def make_detector_settings(
     section: daemon_settings.MembershipSection,
 ) -> probes.DetectorSettings:
-    """Return the detector's settings for those of the daemon."""
+    """Convert the settings section to the detector's settings."""
     return probes.DetectorSettings(
         probe_interval_s=section.probe_interval_s,
         probe_timeout_s=section.probe_timeout_s,
--- a/src/endivevane/cluster/node.py
+++ b/src/endivevane/cluster/node.py
@@ -1,4 +1,4 @@
-"""State of the cluster thread: membership, session and configuration together."""
+"""Combines membership, session and configuration on the cluster thread."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from endivevane.daemon import settings as daemon_settings
 from endivevane.external import vms
 
-_SEEN_BROADCASTS = 4096
+_MAX_SEEN_BROADCASTS = 4096
 _ASK_INTERVAL_S = 0.5
 _ASK_BATCH = 12
-# A leaving daemon still finishes its streams.
+# A leaving daemon still completes its streams, so it counts as alive.
 _ALIVE = frozenset(members.MemberState) - {members.MemberState.DEAD}
 
 
 class Node:
-    """What the cluster thread owns; every method runs on that thread.
+    """State of the cluster thread; methods run on that thread unless noted.
 
     :param publish: called with each event
     """
@@ -56,7 +56,7 @@
         self._clock, self._random = node_clock, generator
         self._background = background
         self._publish = publish
-        self.keeper = sessions.SessionKeeper(
+        self.session_renewer = sessions.SessionRenewer(
             settings, node_clock, table_store, background, generator
         )
         self.follower = follower.ConfigurationFollower(
@@ -74,20 +74,22 @@
             self._peers, table_store, background
         )
         self._vms = vm_watch.VmWatch(vm_list, background, self._peers)
-        self._seen: collections.OrderedDict[str, None] = collections.OrderedDict()
-        self._ask_at_s = 0.0
+        self._seen_broadcasts: collections.OrderedDict[str, None] = (
+            collections.OrderedDict()
+        )
+        self._ask_due_s = 0.0
         self._is_leaving = False
         self.members: tuple[members.Member, ...] = (self._peers.detector.me,)
         self._longest_pause_s = settings.session.term_s
         self._ready_until_s = 0.0
 
     def tick(self) -> None:
-        """Run everything that is due, then send and report."""
+        """Run all due work, send queued messages and publish membership changes."""
         now_s = self._clock.monotonic_s()
         detector = self._peers.detector
         detector.tick()
         self.follower.feed.learn_revision(detector.known_revision)
-        self.keeper.run(now_s)
+        self.session_renewer.run(now_s)
         self.follower.run(now_s, len(detector.table), self._has_holder())
         self._peers.run(now_s)
         self._confirmations.run(now_s)
@@ -100,15 +102,15 @@
         self._ready_until_s = now_s + self._longest_pause_s if is_ready else 0.0
 
     def is_ready(self) -> bool:
-        """Tell whether the configuration is known to be current; safe on any thread.
+        """Return whether the configuration is current; safe on any thread.
 
-        After a pause of the process another thread may ask before the cluster thread
-        has noticed the pause, so that the answer of the last tick has a limit.
+        The result of the last tick expires: after a process pause another thread may
+        call this before the cluster thread has detected the pause.
         """
         return self._clock.monotonic_s() < self._ready_until_s
 
     def replace_keys(self, keys: daemon_settings.KeysSection) -> None:
-        """Take over lists of allowed keys."""
+        """Replace the lists of allowed keys."""
         self._peers.replace_keys(keys)
 
     def leave(self) -> None:
@@ -119,34 +121,34 @@
     def send_application(
         self, daemon: str, kind: str, body: dict[str, typing.Any]
     ) -> None:
-        """Send a message of another part to one daemon."""
+        """Send an application message to one daemon."""
         header = self._peers.make_header()
         message = messages.Application(header, kind, body, header.sender)
         self._peers.send(daemon, message)
 
     def broadcast_application(self, kind: str, body: dict[str, typing.Any]) -> None:
-        """Send a message of another part to all daemons."""
+        """Broadcast an application message to all daemons."""
         header = self._peers.make_header()
         broadcast_id = utils.make_id("cast")
-        self._seen[broadcast_id] = None
+        self._seen_broadcasts[broadcast_id] = None
         message = messages.Application(header, kind, body, header.sender, broadcast_id)
         self._peers.send_to_links(message)
 
     def handle(self, message: messages.Message) -> None:
-        """Process one received message."""
+        """Handle a received message."""
         self._confirmations.record_applied(message.header)
         if isinstance(message, gossip_messages.Message):
             self._peers.detector.handle(message)
             return
         self._peers.detector.learn_revision(message.header.known_revision)
-        self._react(message)
+        self._handle_by_type(message)
 
     def finish_call(self, finished: calls.CallFinished) -> None:
         """Apply the outcome of a background call."""
         self._background.finish(finished.kind)
         match finished.kind:
             case sessions.RENEW:
-                self.keeper.record(finished.outcome)
+                self.session_renewer.record(finished.outcome)
             case sessions.SCAN:
                 self._peers.record_scan(finished.outcome)
             case follower.HEAD:
@@ -160,17 +162,17 @@
                 self._report_vms(self._vms.record(finished.outcome))
 
     @functools.singledispatchmethod
-    def _react(self, message: messages.Message) -> None:
-        """Do what a message of the configuration or application asks for."""
+    def _handle_by_type(self, message: messages.Message) -> None:
+        """Handle a configuration or application message by its type."""
 
-    @_react.register
-    def _react_to_ask(self, message: messages.ConfigAsk) -> None:
+    @_handle_by_type.register
+    def _handle_config_ask(self, message: messages.ConfigAsk) -> None:
         is_current = self.follower.feed.is_current()
         answer = messages.ConfigStatus(self._peers.make_header(), is_current)
         self._peers.send(message.header.sender, answer, prefer_route=True)
 
-    @_react.register
-    def _react_to_status(self, message: messages.ConfigStatus) -> None:
+    @_handle_by_type.register
+    def _handle_config_status(self, message: messages.ConfigStatus) -> None:
         header = message.header
         self.follower.feed.record_answer(
             header.sender, header.applied_revision, message.is_current
@@ -178,38 +180,38 @@
         if header.applied_revision > self.follower.feed.applied_revision:
             self._request_rows(header.sender)
 
-    @_react.register
-    def _react_to_get(self, message: messages.ConfigGet) -> None:
+    @_handle_by_type.register
+    def _handle_config_get(self, message: messages.ConfigGet) -> None:
         if self.follower.feed.applied_revision == 0:
             return
         rows = self.follower.make_rows(self._peers.make_header(), message.versions)
         self._peers.send(message.header.sender, rows, prefer_route=True)
 
-    @_react.register
-    def _react_to_rows(self, message: messages.ConfigRows) -> None:
+    @_handle_by_type.register
+    def _handle_config_rows(self, message: messages.ConfigRows) -> None:
         self.follower.accept_rows(message)
 
-    @_react.register
-    def _react_to_applied(self, message: messages.ConfigApplied) -> None:
+    @_handle_by_type.register
+    def _handle_config_applied(self, message: messages.ConfigApplied) -> None:
         self._confirmations.handle(message)
 
-    @_react.register
-    def _react_to_vms(self, message: messages.VmsLeaving) -> None:
+    @_handle_by_type.register
+    def _handle_vms_leaving(self, message: messages.VmsLeaving) -> None:
         self._report_vms(self._vms.handle(message))
 
-    @_react.register
-    def _react_to_needs(self, message: messages.LinkNeeds) -> None:
+    @_handle_by_type.register
+    def _handle_link_needs(self, message: messages.LinkNeeds) -> None:
         if self._shares is not None:
             self._shares.receive(message.needs)
 
-    @_react.register
-    def _react_to_application(self, message: messages.Application) -> None:
+    @_handle_by_type.register
+    def _handle_application(self, message: messages.Application) -> None:
         if message.broadcast_id:
-            if message.broadcast_id in self._seen:
+            if message.broadcast_id in self._seen_broadcasts:
                 return
-            self._seen[message.broadcast_id] = None
-            if len(self._seen) > _SEEN_BROADCASTS:
-                self._seen.popitem(last=False)
+            self._seen_broadcasts[message.broadcast_id] = None
+            if len(self._seen_broadcasts) > _MAX_SEEN_BROADCASTS:
+                self._seen_broadcasts.popitem(last=False)
             self._peers.forward(message)
         self._publish(events.PeerMessage(message.origin, message.kind, message.body))
 
@@ -222,12 +224,12 @@
         self._publish(events.ConfigurationChanged(self.follower.snapshot))
 
     def _ask_peers(self, now_s: float) -> None:
-        """Turn to peers while the store is down, and for all documents at a start."""
+        """Query peers while the store is down, and for all documents at start-up."""
         feed = self.follower.feed
         is_start = feed.applied_revision == 0 and feed.needs_fetch()
-        if now_s < self._ask_at_s or not (self.follower.has_store_failed or is_start):
+        if now_s < self._ask_due_s or not (self.follower.has_store_failed or is_start):
             return
-        self._ask_at_s = now_s + _ASK_INTERVAL_S
+        self._ask_due_s = now_s + _ASK_INTERVAL_S
         if feed.needs_fetch():
             holders = self._confirmations.list_holders(feed.known_revision)
             if holders:
@@ -240,7 +242,7 @@
             self._peers.send(name, messages.ConfigAsk(self._peers.make_header()))
 
     def _announce_needs(self) -> None:
-        """Send what has to be announced of the link's use to one neighbour."""
+        """Send pending link announcements to a random neighbour."""
         names = self._peers.detector.list_links()
         if self._shares is None or not names:
             return
--- a/src/endivevane/cluster/sessions.py
+++ b/src/endivevane/cluster/sessions.py
@@ -1,4 +1,4 @@
-"""The session of this daemon and the sessions of others, over the table service."""
+"""Renews this daemon's session and reads all sessions in the table service."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Session:
-    """The session of this daemon at one moment.
+    """This daemon's session at a point in time.
 
-    :param epoch: ``None`` while there is none
+    :param epoch: ``None`` while there is no valid session
     :param expires_s: monotonic time at which the term ends
     """
 
@@ -32,12 +32,12 @@
     expires_s: float
 
 
-class SessionKeeper:
-    """Renews the session; runs on the cluster thread except where noted.
+class SessionRenewer:
+    """Renews the session; runs on the cluster thread unless noted.
 
     :param settings: the daemon's settings
-    :param keeper_clock: the clock that the lease counts on
-    :param table_store: where the row is
+    :param renewer_clock: clock of the lease
+    :param table_store: store of the session row
     :param background: runs the blocking calls
     :param generator: source of jitter
     """
@@ -45,7 +45,7 @@
     def __init__(
         self,
         settings: daemon_settings.Settings,
-        keeper_clock: clock.Clock,
+        renewer_clock: clock.Clock,
         table_store: store.TableStore,
         background: calls.BackgroundCalls,
         generator: random.Random,
@@ -53,20 +53,20 @@
         self._random = generator
         self._failures = 0
         self._settings = settings
-        self._clock = keeper_clock
+        self._clock = renewer_clock
         self._store = table_store
         self._background = background
         self._term_s = settings.session.term_s
         self._lease = lease.SessionLease(
-            settings.daemon.name, _make_fields(settings), self._term_s, keeper_clock
+            settings.daemon.name, _make_fields(settings), self._term_s, renewer_clock
         )
-        self._due_s = keeper_clock.monotonic_s()
+        self._due_s = renewer_clock.monotonic_s()
         self._is_closing = False
-        self._view: tuple[int | None, float] = (None, 0.0)
+        self._current: tuple[int | None, float] = (None, 0.0)
 
     def read(self) -> Session:
         """Return the session; safe on any thread."""
-        epoch, expires_s = self._view
+        epoch, expires_s = self._current
         is_valid = epoch is not None and self._clock.monotonic_s() < expires_s
         name = self._settings.daemon.name
         return Session(name, epoch if is_valid else None, is_valid, expires_s)
@@ -86,7 +86,7 @@
         self, outcome: result.Result[lease.Renewed, store.StoreError] | None
     ) -> None:
         """Apply the outcome of a renewal."""
-        before = self._view[0]
+        before = self._current[0]
         if outcome is None:
             outcome = result.Err(store.StoreUnavailable("call failed"))
         self._lease.record(outcome)
@@ -99,28 +99,28 @@
         else:
             self._failures = 0
         remaining_s = self._lease.compute_remaining_s()
-        self._view = (self._lease.epoch, now_s + remaining_s)
-        if self._view[0] != before:
-            logs.info("session_epoch", epoch=self._view[0], before=before)
+        self._current = (self._lease.epoch, now_s + remaining_s)
+        if self._current[0] != before:
+            logs.info("session_epoch", epoch=self._current[0], before=before)
 
     def _choose_delay_s(self, error: store.StoreError) -> float:
-        """Return the wait before the next try, so that all daemons spread theirs."""
-        longest_s = self._term_s / 6
-        delay_s = min(longest_s, _RETRY_S * float(1 << min(self._failures, 8)))
+        """Return the back-off before the next attempt, with jitter across daemons."""
+        max_delay_s = self._term_s / 6
+        delay_s = min(max_delay_s, _RETRY_S * float(1 << min(self._failures, 8)))
         if isinstance(error, store.StoreOverloaded):
-            delay_s = max(delay_s, min(error.retry_after_s, longest_s))
+            delay_s = max(delay_s, min(error.retry_after_s, max_delay_s))
         return delay_s * self._random.uniform(0.7, 1.3)
 
     def close(self) -> None:
         """Stop renewing and delete the row; blocks on the table service."""
         self._is_closing = True
-        epoch = self._view[0]
-        self._view = (None, 0.0)
+        epoch = self._current[0]
+        self._current = (None, 0.0)
         name = self._settings.daemon.name
-        reading = self._store.read(lease.TABLE, name)
-        if isinstance(reading, result.Err) or reading.ok_value is None:
+        read_outcome = self._store.read(lease.TABLE, name)
+        if isinstance(read_outcome, result.Err) or read_outcome.ok_value is None:
             return
-        row = reading.ok_value
+        row = read_outcome.ok_value
         if epoch is None or row.value.get(lease.EPOCH_FIELD) != epoch:
             return
         self._store.transact(
--- a/src/endivevane/cluster/tasks.py
+++ b/src/endivevane/cluster/tasks.py
@@ -1,4 +1,4 @@
-"""The task that keeps a daemon in touch with the others and with the head."""
+"""The task for a daemon's membership, session and configuration."""
 
 from __future__ import annotations
 
@@ -62,10 +62,10 @@
     :param settings: the daemon's settings
     :param task_clock: clock for all timers
     :param table_store: the table service; its calls run in a small pool of threads
-    :param vm_list: the platform's list of VMs; ``None`` does without
+    :param vm_list: client of the platform's VM list; ``None`` disables polling it
     :param generator: source of jitter and random choices
-    :param shares: division of the link between the regions, whose announcements the
-        task carries
+    :param shares: shares of the link between the regions; the task exchanges their
+        announcements
     """
 
     def __init__(
@@ -80,14 +80,14 @@
         self._settings = settings
         self._clock = task_clock
         self._inbox: queue.SimpleQueue[typing.Any] = queue.SimpleQueue()
-        self._wake_in, self._wake_out = socket.socketpair()
-        self._wake_in.setblocking(False)
-        self._wake_out.setblocking(False)
+        self._wake_reader, self._wake_writer = socket.socketpair()
+        self._wake_reader.setblocking(False)
+        self._wake_writer.setblocking(False)
         self._subscribers: list[Subscriber] = []
         self._stop = threading.Event()
         limit = settings.membership.max_connections + _ON_DEMAND_CONNECTIONS
         self._transport = transport.Transport(settings, limit)
-        self._transport.register_wake(self._wake_in.fileno())
+        self._transport.register_wake(self._wake_reader.fileno())
         self._background = calls.BackgroundCalls(self._post)
         self._node = node.Node(
             settings,
@@ -104,7 +104,7 @@
 
     @property
     def snapshot(self) -> snapshot.Snapshot:
-        """The configuration in force."""
+        """The applied configuration."""
         return self._node.follower.snapshot
 
     @property
@@ -113,39 +113,39 @@
         return self._transport
 
     def members(self) -> tuple[members.Member, ...]:
-        """Return all known members, this daemon included."""
+        """Return all known members, including this daemon."""
         return self._node.members
 
     def is_ready(self) -> bool:
-        """Tell whether the configuration in force is known to be current."""
+        """Return whether the applied configuration is known to be current."""
         return self._node.is_ready() and self._thread.is_alive()
 
     def session(self) -> sessions.Session:
         """Return this daemon's session."""
-        return self._node.keeper.read()
+        return self._node.session_renewer.read()
 
     def subscribe(self, callback: Subscriber) -> None:
-        """Call a function on the cluster thread with each event.
+        """Register a callback that is called on the cluster thread with each event.
 
-        :param callback: must return fast and must not raise
+        :param callback: must return quickly and must not raise
         """
         self._subscribers.append(callback)
 
     def send(self, daemon: str, kind: str, body: dict[str, typing.Any]) -> None:
-        """Send a message to one daemon; it may be lost.
+        """Send a message to one daemon, without guaranteed delivery.
 
         :param kind: one of ``messages.APPLICATION_KINDS``
         """
         self._post(_Send(daemon, kind, body))
 
     def broadcast(self, kind: str, body: dict[str, typing.Any]) -> None:
-        """Send a message to all daemons; each passes it on to its neighbours once."""
+        """Broadcast a message; each daemon forwards it to its neighbours once."""
         self._post(_Broadcast(kind, body))
 
     def replace_keys(self, keys: daemon_settings.KeysSection) -> None:
-        """Take over lists of allowed keys and close connections with other keys.
+        """Replace the allowed keys and close connections with other keys.
 
-        :param keys: the own pair is that of the start
+        :param keys: new lists; the own key pair must be unchanged
         """
         self._post(_ReplaceKeys(keys))
 
@@ -156,7 +156,7 @@
     def drain(self, deadline_s: float) -> None:
         """Announce that this daemon is about to stop.
 
-        :param deadline_s: unused; nothing has to be waited for
+        :param deadline_s: unused, since leaving does not wait
         """
         self._post(_Leave())
 
@@ -167,7 +167,7 @@
         if self._thread.is_alive():
             self._thread.join(timeout=5.0)
         self._background.close()
-        self._node.keeper.close()
+        self._node.session_renewer.close()
 
     def _post(self, message: typing.Any) -> None:
         self._inbox.put(message)
@@ -175,9 +175,9 @@
 
     def _wake(self) -> None:
         try:
-            self._wake_out.send(b"w")
+            self._wake_writer.send(b"w")
         except OSError:
-            # A full buffer has woken the thread already; a closed one has stopped it.
+            # A full buffer has already woken the thread; a closed one means it stopped.
             return
 
     def _publish(self, event: events.Event) -> None:
@@ -185,7 +185,7 @@
             try:
                 callback(event)
             except Exception as error:
-                # A subscriber's fault must not end the daemon's membership.
+                # A failing subscriber must not stop the cluster thread.
                 logs.error("cluster_subscriber_failed", error=repr(error))
 
     def _run(self) -> None:
@@ -194,14 +194,14 @@
                 self._transport.wait(_TICK_S)
                 for message in self._transport.receive():
                     self._node.handle(message)
-                self._take_inbox()
+                self._process_inbox()
                 self._node.tick()
         finally:
             self._transport.close()
 
-    def _take_inbox(self) -> None:
+    def _process_inbox(self) -> None:
         with contextlib.suppress(BlockingIOError):
-            self._wake_in.recv(4096)
+            self._wake_reader.recv(4096)
         while True:
             try:
                 item = self._inbox.get_nowait()
--- a/src/endivevane/cluster/transport.py
+++ b/src/endivevane/cluster/transport.py
@@ -1,8 +1,8 @@
-"""Connections between daemons: two ROUTER sockets with CURVE keys.
+"""Transport between daemons over two ROUTER sockets with CURVE keys.
 
-One socket is bound and answers on the connections that peers opened; the other holds
-the connections that this daemon opened, each under its own routing id. Two sockets
-for all peers keep the cost of a poll independent of the number of connections.
+One socket is bound and answers on connections that peers opened; the other holds the
+connections that this daemon opened, each with its own routing id. Sharing two sockets
+among all peers keeps the cost of a poll independent of the number of connections.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 _ZAP_DOMAIN = b"endivevane"
 _MAX_ROUTES = 1024
 _MAX_BATCH = 200
-_QUEUE_MESSAGES = 256
+_HIGH_WATER_MARK = 256
 _HANDSHAKE_MS = 2000
 _CONNECT_MS = 1000
 _RECONNECT_MS = 200
 _RECONNECT_MAX_MS = 3000
-# Unacknowledged data ends a connection, so that a silent one is opened anew.
+# Unacknowledged data closes a connection, so that a stalled one is reopened.
 _RETRANSMIT_MS = 4000
-# A handshake takes more than one probe timeout on a busy machine. Closing connections
-# before it ended kept 100 members from ever connecting.
-_SILENCE_S = 2.0
+# A handshake takes longer than a probe timeout on a busy machine. Closing connections
+# before it completed kept 100 members from ever connecting.
+_UNRESPONSIVE_AFTER_S = 2.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -42,7 +42,7 @@
     routing_id: bytes
     endpoint: str
     public_key: str
-    heard_s: float
+    last_seen_s: float
 
 
 @dataclasses.dataclass(slots=True)
@@ -55,9 +55,9 @@
 class Transport:
     """Sends and receives messages; used by one thread only.
 
-    :param settings: the daemon's settings; without keys, connections are plain
-    :param max_connections: connections that this daemon opens; the one used least
-        recently is closed for a new one
+    :param settings: the daemon's settings; without keys, connections are unencrypted
+    :param max_connections: limit of connections that this daemon opens; the least
+        recently used one is closed for a new one
     """
 
     def __init__(
@@ -85,7 +85,7 @@
             self._poller.register(socket, zmq.POLLIN)
 
     def register_wake(self, descriptor: int) -> None:
-        """Let a readable file descriptor end a wait."""
+        """Register a file descriptor that ends a wait when it is readable."""
         self._poller.register(descriptor, zmq.POLLIN)
 
     def wait(self, timeout_s: float) -> None:
@@ -94,7 +94,7 @@
         self._answer_handshakes()
 
     def receive(self) -> abc.Iterator[messages.Message]:
-        """Yield the messages that have arrived, up to a bound."""
+        """Yield received messages, up to a batch limit per socket."""
         for socket, is_inbound in ((self._server, True), (self._client, False)):
             for _ in range(_MAX_BATCH):
                 try:
@@ -117,17 +117,17 @@
                     self.counts.record_dropped("wrong_name")
                     continue
                 if is_inbound:
-                    self._remember_route(sender, frames, public_key)
+                    self._record_route(sender, frames, public_key)
                 else:
-                    self._note_answer(routing_id, sender)
+                    self._record_answer(routing_id, sender)
                 yield message
 
     def is_connected(self, name: str) -> bool:
-        """Tell whether this daemon holds a connection to a peer."""
+        """Return whether this daemon has opened a connection to a peer."""
         return name in self._connections
 
     def connect(self, name: str, address: str, public_key: str) -> None:
-        """Open a connection unless the same one is open.
+        """Open a connection unless an identical one is open.
 
         :param public_key: CURVE key of the peer; must be in the allow-list
         """
@@ -153,12 +153,12 @@
         )
 
     def replace_keys(self, keys: daemon_settings.KeysSection) -> None:
-        """Take over lists of allowed keys and of names, and close what they exclude.
+        """Replace allowed keys and their names, and close excluded connections.
 
-        A connection that a peer opened and that has carried no message yet is closed
-        with its first message.
+        A connection that a peer opened and has not used yet is closed on its first
+        message.
 
-        :param keys: the own pair is that of the start
+        :param keys: new lists; the own key pair must be unchanged
         """
         self._settings = self._settings.model_copy(update={"keys": keys})
         self._allowed = _read_allowed_keys(keys)
@@ -172,16 +172,16 @@
                 del self._routes[name]
                 self._close_inbound(route.descriptor)
 
-    def drop_silent(self, name: str) -> None:
-        """Close a connection that has carried nothing to this daemon for a while."""
+    def drop_unresponsive(self, name: str) -> None:
+        """Close a connection on which nothing was received recently."""
         connection = self._connections.get(name)
         if connection is None:
             return
-        if time.monotonic() - connection.heard_s >= _SILENCE_S:
+        if time.monotonic() - connection.last_seen_s >= _UNRESPONSIVE_AFTER_S:
             self.disconnect(name)
 
     def disconnect(self, name: str) -> None:
-        """Close the connection that this daemon holds to a peer."""
+        """Close the connection that this daemon opened to a peer."""
         connection = self._connections.pop(name, None)
         if connection is None:
             return
@@ -193,7 +193,7 @@
     def send(
         self, name: str, message: messages.Message, prefer_route: bool = False
     ) -> bool:
-        """Send over an open connection, and tell whether there is one.
+        """Send over an open connection; return whether the message was queued.
 
         :param prefer_route: answer on the connection that the peer opened, if its last
             message came over it
@@ -241,18 +241,18 @@
         return self._settings.keys is None or public_key in self._allowed
 
     def _may_hold(self, name: str, public_key: str) -> bool:
-        """Tell whether a connection between this daemon and a peer may stay open."""
+        """Return whether the connection with a peer may stay open."""
         if not self._is_allowed(public_key):
             return False
         is_seed = name.startswith(SEED_PREFIX)
-        return is_seed or self._names.may_speak(name, public_key)
+        return is_seed or self._names.is_authorised(name, public_key)
 
     def _close_inbound(self, descriptor: int) -> None:
         address = self._settings.daemon.cluster_listen
         if inbound.close_connection(descriptor, address):
             self.counts.record_closed("in")
 
-    def _remember_route(
+    def _record_route(
         self, name: str, frames: list[zmq.Frame], public_key: str
     ) -> None:
         routing_id = frames[0].bytes
@@ -265,22 +265,22 @@
             self._routes.popitem(last=False)
 
     def _find_key(self, routing_id: bytes) -> str:
-        """Return the key that the peer of an own connection has proved to hold."""
+        """Return the public key of the peer of a connection opened by this daemon."""
         label = routing_id.rpartition(b"#")[0].decode()
         for connection in (self._connections.get(label), *self._connections.values()):
             if connection is not None and connection.routing_id == routing_id:
                 return connection.public_key
         return ""
 
-    def _note_answer(self, routing_id: bytes, name: str) -> None:
-        """Note that a connection works; one to a seed gets the name that answers."""
+    def _record_answer(self, routing_id: bytes, name: str) -> None:
+        """Mark a connection as responsive, and name a seed's connection by its peer."""
         label = routing_id.rpartition(b"#")[0].decode()
         connection = self._connections.get(label)
         if connection is None or connection.routing_id != routing_id:
             return
-        connection.heard_s = time.monotonic()
-        # The peer may have restarted since it opened a connection of its own, and what
-        # is sent over the former one is lost without an error.
+        connection.last_seen_s = time.monotonic()
+        # The peer may have restarted since it opened its own connection; messages sent
+        # over that connection would be lost without an error.
         self._routes.pop(name, None)
         if not label.startswith(SEED_PREFIX):
             return
@@ -292,8 +292,8 @@
     def _close_endpoint(self, endpoint: str) -> None:
         """Close other connections to an endpoint.
 
-        The library closes all connections to an endpoint together, so that there must
-        never be two.
+        ZeroMQ closes all connections to an endpoint together, so there must never be
+        two.
         """
         for name, connection in list(self._connections.items()):
             if connection.endpoint == endpoint:
@@ -303,8 +303,8 @@
         socket = self._context.socket(zmq.ROUTER)
         for option, value in (
             (zmq.LINGER, 0),
-            (zmq.SNDHWM, _QUEUE_MESSAGES),
-            (zmq.RCVHWM, _QUEUE_MESSAGES),
+            (zmq.SNDHWM, _HIGH_WATER_MARK),
+            (zmq.RCVHWM, _HIGH_WATER_MARK),
             (zmq.MAXMSGSIZE, messages.MAX_MESSAGE_BYTES),
             (zmq.HANDSHAKE_IVL, _HANDSHAKE_MS),
             (zmq.CONNECT_TIMEOUT, _CONNECT_MS),
@@ -336,7 +336,7 @@
             self._client.setsockopt(zmq.CURVE_SERVERKEY, public_key.encode())
 
     def _answer_handshakes(self) -> None:
-        """Answer ZAP requests: a peer is admitted by its public key alone."""
+        """Answer ZAP requests; a peer is accepted by its public key alone."""
         for _ in range(_MAX_BATCH):
             try:
                 frames = self._zap.recv_multipart(zmq.NOBLOCK)
@@ -345,7 +345,7 @@
             version, request_id, *_ = [*frames, b"", b""]
             is_allowed = len(frames) == 7 and frames[6] in self._allowed.values()
             status = [b"200", b"OK"] if is_allowed else [b"400", b"unknown key"]
-            # The user id comes with each message of the connection.
+            # ZeroMQ attaches the user id to each message of the connection.
             user_id = _encode_key(frames[6]) if is_allowed else b""
             if not is_allowed:
                 self.counts.record_dropped("handshake")
@@ -353,17 +353,17 @@
 
 
 def _read_allowed_keys(keys: daemon_settings.KeysSection | None) -> dict[str, bytes]:
-    """Return the binary form of each allowed key; the own key is one of them."""
+    """Return the binary form of each allowed key, including the own key."""
     if keys is None:
         return {}
-    texts = {keys.public, *keys.peer_public}
+    encoded_keys = {keys.public, *keys.peer_public}
     for listed in keys.peers.values():
-        texts.update(listed)
+        encoded_keys.update(listed)
     decode: abc.Callable[[bytes], bytes] = z85.decode
-    return {text: decode(text.encode()) for text in texts}
+    return {encoded_key: decode(encoded_key.encode()) for encoded_key in encoded_keys}
 
 
 def _encode_key(data: bytes) -> bytes:
-    """Return the text of a binary key."""
+    """Return the Z85 text of a binary key."""
     encode: abc.Callable[[bytes], bytes] = z85.encode
     return encode(data)
--- a/src/endivevane/cluster/vm_watch.py
+++ b/src/endivevane/cluster/vm_watch.py
@@ -1,4 +1,4 @@
-"""Watch over the platform's list of VMs, for those that are leaving."""
+"""Polls the platform's list of VMs for leaving VMs."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 LIST = "vm_list"
 _INTERVAL_S = 1.0
-# The list names every VM, so that a large cluster lets two daemons of each zone read it
-# and pass on the few names that matter.
+# The list contains every VM, so in a large cluster only two daemons of each zone read
+# it and broadcast the names of the leaving VMs.
 _SMALL_CLUSTER = 16
 _READERS_PER_ZONE = 2
 
 
 class VmWatch:
-    """Reads the list or learns from those who do; runs on the cluster thread.
+    """Polls the list or applies it from peers; runs on the cluster thread.
 
-    :param vm_list: the platform's list; ``None`` does without
+    :param vm_list: client of the platform's list; ``None`` disables polling
     :param background: runs the blocking calls
-    :param peers: members and connections
+    :param peers: other daemons and the connections to them
     """
 
     def __init__(
@@ -40,7 +40,7 @@
     def run(self, now_s: float, is_ready: bool) -> None:
         """Read the list when it is due and this daemon is one of the readers.
 
-        A daemon that is not ready reads it too, to know whom to ask.
+        A daemon that is not ready reads it too, to find the peers to query.
         """
         if self._vm_list is None or now_s < self._due_s:
             return
@@ -52,7 +52,7 @@
     def record(
         self, outcome: result.Result[vms.VmList, vms.VmListError] | None
     ) -> frozenset[str] | None:
-        """Apply a list; return the leaving VMs if they changed."""
+        """Apply a fetched list; return the leaving VMs if they changed."""
         if outcome is None or isinstance(outcome, result.Err):
             return None
         listed = outcome.ok_value
@@ -60,7 +60,7 @@
         leaving = frozenset(
             vm.name for vm in listed.vms if vm.state is vms.VmState.LEAVING
         )
-        if not self._accept(listed.as_of_s, leaving):
+        if not self._apply(listed.as_of_s, leaving):
             return None
         names = tuple(sorted(leaving))
         message = messages.VmsLeaving(self._peers.make_header(), listed.as_of_s, names)
@@ -68,14 +68,14 @@
         return leaving
 
     def handle(self, message: messages.VmsLeaving) -> frozenset[str] | None:
-        """Apply the list that another daemon read; return leaving VMs on a change."""
+        """Apply a peer's list; return the leaving VMs if they changed."""
         leaving = frozenset(message.names)
-        if not self._accept(message.as_of_s, leaving):
+        if not self._apply(message.as_of_s, leaving):
             return None
         self._peers.forward(message)
         return leaving
 
-    def _accept(self, as_of_s: float, leaving: frozenset[str]) -> bool:
+    def _apply(self, as_of_s: float, leaving: frozenset[str]) -> bool:
         if as_of_s < self._as_of_s:
             return False
         self._as_of_s = as_of_s
