--- a/src/endivevane/daemon/__init__.py
+++ b/src/endivevane/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon process."""
+"""The daemon process: settings, wiring and operator routes."""
--- a/src/endivevane/daemon/admin.py
+++ b/src/endivevane/daemon/admin.py
@@ -1,4 +1,4 @@
-"""Routes for operators: status, services, targets, drain, explain."""
+"""Operator routes: status, services, targets, drain and explain."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AdminParts:
-    """What the operators' routes read and call.
+class AdminDependencies:
+    """Dependencies of the operator routes.
 
-    :param count_streams: returns the online requests in flight or waiting
-    :param get_leaving: returns the names of targets that get no new work
-    :param get_obstacles: returns why the daemon is not ready
-    :param request_drain: starts the planned stop of the daemon
+    :param count_streams: returns the number of online requests in flight or queued
+    :param get_leaving: returns the names of targets that receive no new work
+    :param get_unready_reasons: returns the reasons why the daemon is not ready
+    :param request_drain: starts a graceful shutdown of the daemon
     """
 
     settings: settings.Settings
     cluster: tasks.ClusterTask
-    loads: load_board.LoadBoard
+    loads: load_board.LoadTable
     history: history.RequestHistory
     count_streams: abc.Callable[[], int]
     get_leaving: abc.Callable[[], frozenset[str]]
-    get_obstacles: abc.Callable[[], list[str]]
+    get_unready_reasons: abc.Callable[[], list[str]]
     request_drain: abc.Callable[[], None]
 
 
 class AdminApi:
-    """Handlers of the operators' routes."""
+    """Handlers of the operator routes."""
 
-    def __init__(self, parts: AdminParts) -> None:
-        self._parts = parts
+    def __init__(self, dependencies: AdminDependencies) -> None:
+        self._dependencies = dependencies
 
     def routes(self) -> list[app.Route]:
-        """Return the routes; all need a key with the operator role."""
+        """Return the routes; all require a key with the operator role."""
         role = types.Role.OPERATOR
         explain = "/admin/explain/<request_id>"
         return [
@@ -55,9 +55,9 @@
         ]
 
     def _show_status(self, call: app.Call) -> werkzeug.wrappers.Response:
-        parts = self._parts
-        session = parts.cluster.session()
-        obstacles = parts.get_obstacles()
+        dependencies = self._dependencies
+        session = dependencies.cluster.session()
+        obstacles = dependencies.get_unready_reasons()
         members = [
             {
                 "name": item.name,
@@ -66,18 +66,18 @@
                 "state": item.state.name.lower(),
                 "incarnation": item.incarnation,
             }
-            for item in parts.cluster.members()
+            for item in dependencies.cluster.members()
         ]
         return app.make_json_response(
             {
-                "daemon": parts.settings.daemon.name,
-                "zone": parts.settings.daemon.zone,
+                "daemon": dependencies.settings.daemon.name,
+                "zone": dependencies.settings.daemon.zone,
                 "ready": not obstacles,
                 "obstacles": obstacles,
                 "revision": call.snapshot.revision,
                 "session_epoch": session.epoch,
                 "session_valid": session.is_valid,
-                "open_streams": parts.count_streams(),
+                "open_streams": dependencies.count_streams(),
                 "members": members,
             }
         )
@@ -98,7 +98,7 @@
         )
 
     def _list_targets(self, call: app.Call) -> werkzeug.wrappers.Response:
-        leaving = self._parts.get_leaving()
+        leaving = self._dependencies.get_leaving()
         rows = [
             self._describe_target(target, leaving)
             for _, service in sorted(call.snapshot.services.items())
@@ -109,7 +109,7 @@
     def _describe_target(
         self, target: snapshot.Target, leaving: frozenset[str]
     ) -> dict[str, typing.Any]:
-        report = self._parts.loads.load_report(target.name)
+        report = self._dependencies.loads.load_report(target.name)
         state = "leaving" if target.name in leaving else "reported"
         if report is None and target.name not in leaving:
             state = "no report"
@@ -127,15 +127,15 @@
         }
 
     def _drain(self, call: app.Call) -> werkzeug.wrappers.Response:
-        self._parts.request_drain()
-        name = self._parts.settings.daemon.name
+        self._dependencies.request_drain()
+        name = self._dependencies.settings.daemon.name
         return app.make_json_response({"daemon": name, "draining": True}, status=202)
 
     def _explain(self, call: app.Call) -> werkzeug.wrappers.Response:
         request_id = str(call.arguments["request_id"])
-        events = self._parts.history.find(request_id)
+        events = self._dependencies.history.find(request_id)
         if not events:
-            name = self._parts.settings.daemon.name
+            name = self._dependencies.settings.daemon.name
             raise errors.NotFound(f"{name} has no record of {request_id}")
         rows = [
             {
--- a/src/endivevane/daemon/batch_senders.py
+++ b/src/endivevane/daemon/batch_senders.py
@@ -1,4 +1,4 @@
-"""The batch sender of each target, remembered until the members change."""
+"""Caches the batch sender of each target until the members change."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 class BatchSenders:
     """Looks up which daemon alone sends batch items to a target.
 
-    Each look-up hashes all daemons, too much for every online request at a few hundred
-    daemons, so results are kept. Thread-safe: a look-up that races with a change of
-    the members is wrong for one message at most, as any look-up on old members is.
+    A look-up hashes all daemons, which is too slow per online request with a few
+    hundred daemons, so results are cached. Thread-safe: a look-up that races with a
+    membership change is wrong for at most one message, like any on old members.
 
-    :param get_members: returns the live daemons
+    :param get_members: returns the alive daemons
     """
 
     def __init__(
         self, get_members: abc.Callable[[], abc.Sequence[ports.Member]]
     ) -> None:
         self._get_members = get_members
-        self._found: dict[tuple[str, str], str | None] = {}
+        self._senders: dict[tuple[str, str], str | None] = {}
 
     def find(self, target: snapshot.Target) -> str | None:
-        """Return the name of the daemon, ``None`` without live daemons."""
-        found = self._found
+        """Return the name of the daemon, or ``None`` without alive daemons."""
+        senders = self._senders
         key = (target.name, target.region)
-        if key not in found:
-            found[key] = slack.choose_sender(target, self._get_members())
-        return found[key]
+        if key not in senders:
+            senders[key] = slack.choose_sender(target, self._get_members())
+        return senders[key]
 
     def list_targets(
         self, daemon: str, current: snapshot.Snapshot
@@ -44,6 +44,6 @@
             if self.find(target) == daemon
         ]
 
-    def forget(self) -> None:
-        """Look up again; to be called when the members have changed."""
-        self._found = {}
+    def clear(self) -> None:
+        """Clear the cache; call when the members have changed."""
+        self._senders = {}
--- a/src/endivevane/daemon/health.py
+++ b/src/endivevane/daemon/health.py
@@ -10,20 +10,20 @@
 from endivevane.web import app, errors
 
 
-def routes(get_obstacles: abc.Callable[[], list[str]]) -> list[app.Route]:
+def routes(get_unready_reasons: abc.Callable[[], list[str]]) -> list[app.Route]:
     """Return ``/healthz``, ``/readyz`` and ``/metrics``.
 
-    :param get_obstacles: why the daemon is not ready; empty when it is
+    :param get_unready_reasons: returns why the daemon is not ready; empty when it is
     """
 
     def answer_health(call: app.Call) -> werkzeug.wrappers.Response:
         return app.make_json_response({"status": "ok"})
 
     def answer_ready(call: app.Call) -> werkzeug.wrappers.Response:
-        obstacles = get_obstacles()
-        if obstacles:
-            # Not raised, so that a probe is neither logged nor counted as a refusal.
-            error = errors.Unavailable("not ready: " + "; ".join(obstacles))
+        reasons = get_unready_reasons()
+        if reasons:
+            # Not raised, so that probes are neither logged nor counted as refusals.
+            error = errors.Unavailable("not ready: " + "; ".join(reasons))
             return app.make_error_response(error)
         return app.make_json_response({"status": "ready"})
 
--- a/src/endivevane/daemon/history.py
+++ b/src/endivevane/daemon/history.py
@@ -1,4 +1,4 @@
-"""Recent events of each request, for ``endivevanectl explain``."""
+"""Keeps recent events of each request, for ``endivevanectl explain``."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class RequestHistory:
-    """Keeps the events that carry a request id, bounded in number.
+    """Bounded history of the logged events that carry a request id.
 
-    :param history_clock: stamps the events
+    :param history_clock: source of the events' timestamps
     """
 
     def __init__(self, history_clock: clock.Clock) -> None:
@@ -37,7 +37,7 @@
         )
 
     def observe(self, event: str, fields: abc.Mapping[str, object]) -> None:
-        """Record an event; a log observer."""
+        """Record a logged event, as a log observer."""
         request_id = fields.get("request_id")
         if not isinstance(request_id, str):
             return
--- a/src/endivevane/daemon/main.py
+++ b/src/endivevane/daemon/main.py
@@ -1,4 +1,4 @@
-"""The ``endivevaned`` daemon."""
+"""Command-line entry point of the ``endivevaned`` daemon."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from endivevane.daemon import reloading, settings, wiring
 
 _EXIT_INVALID = 3
-_EXIT_CUT = 1
-# A bounded wait lets the main thread run signal handlers.
+_EXIT_ABORTED = 1
+# A bounded wait lets the main thread run pending signal handlers.
 _SIGNAL_CHECK_S = 0.5
 
 
 class _ReloadRequest:
-    """A flag that the handler of SIGHUP sets, without taking a lock."""
+    """A flag that the SIGHUP handler sets without taking a lock."""
 
     def __init__(self) -> None:
         self._is_set = False
 
     def request(self, _number: int, _frame: types.FrameType | None) -> None:
-        """Handle the signal."""
+        """Set the flag; the handler of SIGHUP."""
         self._is_set = True
 
-    def take(self) -> bool:
-        """Clear the flag and return what it was.
+    def clear(self) -> bool:
+        """Clear the flag and return its former value.
 
-        A signal that comes after this call is seen by the next one.
+        A signal that arrives after this call is reported by the next one.
         """
         was_set, self._is_set = self._is_set, False
         return was_set
@@ -58,7 +58,7 @@
 
 
 def main(arguments: abc.Sequence[str] | None = None) -> int:
-    """Run the daemon until SIGTERM, SIGINT or an operator's drain."""
+    """Run the daemon until SIGTERM, SIGINT or an operator's drain request."""
     parsed = make_parser().parse_args(arguments)
     try:
         daemon_settings = settings.load_settings(parsed.config)
@@ -78,9 +78,9 @@
         parsed.config, daemon_settings, daemon.cluster.replace_keys
     )
     while not daemon.wait_stop_requested(_SIGNAL_CHECK_S):
-        if reload_request.take():
+        if reload_request.clear():
             reload.run()
-    return 0 if daemon.run_planned_stop() else _EXIT_CUT
+    return 0 if daemon.run_planned_stop() else _EXIT_ABORTED
 
 
 if __name__ == "__main__":
--- a/src/endivevane/daemon/orders_settings.py
+++ b/src/endivevane/daemon/orders_settings.py
@@ -1,4 +1,4 @@
-"""Turns the settings file's section about orders into the settings of the task."""
+"""Converts the orders section of the settings file to the task's settings."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 def make_settings(
     section: settings.OrdersSection, term_s: float
 ) -> orders.OrdersSettings:
-    """Return the settings of the orders' task.
+    """Return the settings of the orders task.
 
-    :param term_s: term of this daemon's session, which the longest one can't be below
+    :param term_s: term of this daemon's session, the minimum of the longest term
     """
     return orders.OrdersSettings(
         interval_s=section.interval_s,
--- a/src/endivevane/daemon/outcome_flusher.py
+++ b/src/endivevane/daemon/outcome_flusher.py
@@ -1,4 +1,4 @@
-"""Stores outcomes of at-most-once calls that could not be stored at once."""
+"""Stores deferred outcomes of at-most-once calls."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class OutcomeFlusher:
-    """Stores outcomes that waited for the table service or the object store.
+    """Retries storing outcomes in the table service and the object store.
 
-    :param call_register: rows of the calls
-    :param keeper: outcomes that are kept as objects
+    :param call_register: register of the calls' rows
+    :param keeper: stores outcomes as objects
     """
 
     def __init__(
@@ -28,11 +28,11 @@
         self._thread = threading.Thread(target=self._run, name="outcomes", daemon=True)
 
     def start(self) -> None:
-        """Start the task."""
+        """Start the flush thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End the task after one more flush, in the thread of the caller."""
+        """Stop the thread after a final flush on the caller's thread."""
         self._stopped.set()
         self._flush()
 
--- a/src/endivevane/daemon/quarantine_exchange.py
+++ b/src/endivevane/daemon/quarantine_exchange.py
@@ -1,4 +1,4 @@
-"""Passes deaths and quarantines on between online and batch work, peers and store."""
+"""Exchanges target deaths and quarantines between online, batch, peers and store."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class QuarantineExchange:
-    """Quarantine as batch work sees it, exchanged with relay, peers and store.
+    """The quarantine of batch work, exchanged with relay, peers and store.
 
-    Online requests have a quarantine of their own on the relay's thread; this one is
-    for the runner's thread and is guarded by a lock.
+    Online requests have their own quarantine on the relay's thread; this one serves
+    the runner's thread and is guarded by a lock.
 
     :param broadcast: sends a message to all daemons
-    :param post: gives a message to the relay
+    :param post: posts a message to the relay
     """
 
     def __init__(
@@ -42,15 +42,15 @@
         )
 
     def start(self) -> None:
-        """Read the rows, without waiting long for the store."""
+        """Start reading the rows, with a bounded wait for the store."""
         self._rows.start(_FIRST_READ_S)
 
     def stop(self) -> None:
-        """End the thread of the rows."""
+        """Stop the thread that reads the rows."""
         self._rows.stop()
 
     def receive(self, body: dict[str, typing.Any]) -> None:
-        """Take in a message of another daemon."""
+        """Handle a message of another daemon."""
         self.deliver(
             messages.QuarantineChanged(
                 str(body["fingerprint"]),
@@ -60,41 +60,41 @@
         )
 
     def deliver(self, entry: messages.QuarantineChanged) -> None:
-        """Take in an entry of another daemon or of a row."""
-        self._note(entry)
+        """Apply an entry from another daemon or from a row."""
+        self._record(entry)
         self._post(entry)
 
     def publish(self, entry: messages.QuarantineChanged) -> None:
-        """Tell batch work, all daemons and the store of an entry of the relay."""
-        self._note(entry)
-        self._notify(entry)
+        """Publish an entry of the relay to batch work, all daemons and the store."""
+        self._record(entry)
+        self._announce(entry)
 
     def make_fingerprint(self, model: str, body: dict[str, typing.Any]) -> str:
         """Return the fingerprint of a call."""
         return bodies.make_fingerprint(model, body)
 
     def remaining_s(self, fingerprint: str) -> float:
-        """Return how long a fingerprint stays quarantined, zero when it is not."""
+        """Return the remaining quarantine of a fingerprint, or zero."""
         with self._lock:
             return self._known.remaining_s(fingerprint)
 
     def record_death(
         self, fingerprint: str, target_name: str, started_s: float
     ) -> None:
-        """Count the death of a target under a batch item."""
+        """Count the death of a target that was running a batch item."""
         with self._lock:
             self._known.record_death(fingerprint, target_name, started_s)
             entries = self._known.take_unpublished()
         for fields in entries:
             entry = messages.QuarantineChanged(*fields)
             self._post(entry)
-            self._notify(entry)
+            self._announce(entry)
 
-    def _note(self, entry: messages.QuarantineChanged) -> None:
-        """Take an entry in for batch work.
+    def _record(self, entry: messages.QuarantineChanged) -> None:
+        """Apply an entry to the quarantine of batch work.
 
-        A quarantine that follows from it is published by the relay, which comes to
-        the same conclusion.
+        A quarantine that results from it is published by the relay, which applies the
+        same entry.
         """
         with self._lock:
             self._known.receive(
@@ -102,7 +102,7 @@
             )
             self._known.take_unpublished()
 
-    def _notify(self, entry: messages.QuarantineChanged) -> None:
+    def _announce(self, entry: messages.QuarantineChanged) -> None:
         body = {
             "fingerprint": entry.fingerprint,
             "until_ms": entry.until_wall_ms,
--- a/src/endivevane/daemon/reloading.py
+++ b/src/endivevane/daemon/reloading.py
@@ -1,4 +1,4 @@
-"""Reading the settings file again while the daemon runs."""
+"""Reloads the settings file while the daemon runs."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from endivevane import exceptions, logs, metrics
 from endivevane.daemon import settings
 
-_OWN_PAIR = ("public", "secret")
+_OWN_KEY_FIELDS = ("public", "secret")
 
 
 class SettingsReload:
-    """Takes over the lists of allowed keys; everything else needs a restart.
+    """Applies changed lists of allowed keys; all other settings need a restart.
 
     :param path: settings file
-    :param started_with: settings that the daemon was started with
-    :param replace_keys: called with the new lists and the own pair of the start
+    :param startup_settings: settings loaded at start-up
+    :param replace_keys: called with the new lists and the own key pair of start-up
     """
 
     def __init__(
         self,
         path: pathlib.Path,
-        started_with: settings.Settings,
+        startup_settings: settings.Settings,
         replace_keys: abc.Callable[[settings.KeysSection], None],
     ) -> None:
         self._path = path
-        self._started_with = started_with
+        self._startup_settings = startup_settings
         self._replace_keys = replace_keys
 
     def run(self) -> None:
-        """Read and check the whole file, and take over its lists if it is right."""
+        """Validate the whole file, and apply its key lists if it is valid."""
         try:
-            found = settings.load_settings(self._path)
+            loaded = settings.load_settings(self._path)
         except exceptions.SettingsError as error:
             metrics.SETTINGS_RELOADS.labels("refused").inc()
             for problem in error.problems:
@@ -44,29 +44,29 @@
                     reason=problem.reason,
                 )
             return
-        own = self._started_with.keys
-        if own is not None and found.keys is not None:
-            lists = {"peer_public": found.keys.peer_public, "peers": found.keys.peers}
+        own = self._startup_settings.keys
+        if own is not None and loaded.keys is not None:
+            lists = {"peer_public": loaded.keys.peer_public, "peers": loaded.keys.peers}
             self._replace_keys(own.model_copy(update=lists))
         metrics.SETTINGS_RELOADS.labels("applied").inc()
         logs.info("settings_reloaded", file=self._path)
-        changed = list_restart_keys(self._started_with, found)
+        changed = list_restart_keys(self._startup_settings, loaded)
         if changed:
             logs.warning("settings_need_restart", keys=",".join(changed))
 
 
 def list_restart_keys(
-    started_with: settings.Settings, found: settings.Settings
+    startup_settings: settings.Settings, loaded: settings.Settings
 ) -> list[str]:
-    """Return the sections, or keys of the own pair, that a restart would change."""
+    """Return the changed sections and own keys that need a restart to apply."""
     changed = [
         name
         for name in settings.Settings.model_fields
-        if name != "keys" and getattr(started_with, name) != getattr(found, name)
+        if name != "keys" and getattr(startup_settings, name) != getattr(loaded, name)
     ]
-    if started_with.keys is None or found.keys is None:
-        return changed if started_with.keys == found.keys else [*changed, "keys"]
-    for name in _OWN_PAIR:
-        if getattr(started_with.keys, name) != getattr(found.keys, name):
+    if startup_settings.keys is None or loaded.keys is None:
+        return changed if startup_settings.keys == loaded.keys else [*changed, "keys"]
+    for name in _OWN_KEY_FIELDS:
+        if getattr(startup_settings.keys, name) != getattr(loaded.keys, name):
             changed.append(f"keys.{name}")
     return changed
--- a/src/endivevane/daemon/settings.py
+++ b/src/endivevane/daemon/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a daemon."""
+"""Defines and loads the settings file of a daemon."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def _check_public_key(value: str) -> str:
-    """Refuse text that is not a CURVE key.
+    """Reject text that is not a CURVE key.
 
-    A bad key in a list would otherwise fail later, on the cluster thread.
+    An invalid key in a list would otherwise fail later, on the cluster thread.
     """
     if len(value) != _KEY_LENGTH:
         raise ValueError(f"must have {_KEY_LENGTH} characters, not {len(value)}")
@@ -50,7 +50,7 @@
 
 
 class DaemonSection(_Section):
-    """Name, place and addresses of the daemon.
+    """Name, location and addresses of the daemon.
 
     :param listen: address for callers and operators
     :param cluster_listen: address for the other daemons
@@ -106,8 +106,8 @@
     """CURVE keys for connections between daemons, in Z85 text.
 
     :param peer_public: public keys of the daemons that may connect
-    :param peers: one or several public keys by daemon name; such a key speaks for its
-        daemons only, and nobody else speaks for these daemons
+    :param peers: one or several public keys by daemon name; such a key may be used for
+        its daemons only, and no other key for these daemons
     """
 
     public: PublicKey
@@ -121,7 +121,7 @@
 
     :param max_request_bytes: largest body of a call
     :param max_upload_bytes: largest input file of a batch job
-    :param max_streams: online requests in flight or waiting
+    :param max_streams: online requests in flight or queued
     """
 
     max_request_bytes: int = pydantic.Field(default=4 << 20, gt=0)
@@ -134,7 +134,7 @@
     """How the daemon runs batch work.
 
     :param concurrent_items: items in flight in this daemon
-    :param poll_interval_s: time between looks for work in the table service
+    :param poll_interval_s: interval of polling the table service for work
     :param buffered_chunks: chunks whose results may wait for a commit
     """
 
@@ -145,7 +145,7 @@
 
 
 class RetentionSection(_Section):
-    """Deletion of what is past its retention; the periods are in the configuration.
+    """Deletion of expired data; retention periods are in the configuration.
 
     :param interval_s: time between two sweeps of the same rows
     """
@@ -155,23 +155,24 @@
 
 
 class OrdersSection(_Section):
-    """How the owner of an engine group gives orders; the same in all daemons.
+    """Orders to the engines of a group; must be the same in all daemons.
 
     :param interval_s: time between two rounds
     :param call_timeout_s: limit for each wait of a call to an engine
     :param longest_term_s: longest session term of any daemon
-    :param longest_order_s: longest time until an order can no longer take effect
-    :param silent_after_s: time without an answer after which an engine is given up
-    :param max_models: models that an engine holds together
-    :param max_loads: engines of a service that load at the same time
-    :param max_demand_loads: loads at the same time that only demand asks for
-    :param fleet_loads: loads at the same time of all services, which share the rate of
-        the weight store; each service gets an equal part, at least one
-    :param max_reloading_share: share of a service's engines that change together
+    :param longest_order_s: time after which an order can no longer take effect
+    :param silent_after_s: time without a response after which an engine is
+        considered lost
+    :param max_models: models that an engine has loaded at the same time
+    :param max_loads: engines of a service that load concurrently
+    :param max_demand_loads: concurrent loads that only demand requires
+    :param fleet_loads: concurrent loads of all services, which share the rate of the
+        weight store; each service gets an equal part, at least one
+    :param max_reloading_share: share of a service's engines that reload concurrently
     :param residence_s: time that a model stays loaded before it may be unloaded
     :param fill_share: share of a replica's slots that demand should use
-    :param hysteresis_share: change of demand below this share moves nothing
-    :param fall_after_s: time that demand must stay lower to count
+    :param hysteresis_share: a smaller relative change of demand is ignored
+    :param fall_after_s: time that demand must stay lower before replicas are reduced
     """
 
     interval_s: Seconds = 2.0
@@ -191,7 +192,7 @@
 
     @pydantic.field_validator("silent_after_s")
     @classmethod
-    def _check_silence(cls, value: float, info: pydantic.ValidationInfo) -> float:
+    def _check_silent_after(cls, value: float, info: pydantic.ValidationInfo) -> float:
         interval_s = info.data.get("interval_s", 0.0)
         if value <= interval_s:
             raise ValueError(f"must be longer than interval_s, {interval_s:g}")
@@ -199,7 +200,7 @@
 
     @pydantic.field_validator("longest_order_s")
     @classmethod
-    def _check_longest(cls, value: float, info: pydantic.ValidationInfo) -> float:
+    def _check_longest_order(cls, value: float, info: pydantic.ValidationInfo) -> float:
         call_timeout_s = info.data.get("call_timeout_s", 0.0)
         if value <= call_timeout_s:
             raise ValueError(f"must be longer than call_timeout_s, {call_timeout_s:g}")
@@ -207,9 +208,10 @@
 
 
 class DrainSection(_Section):
-    """The planned stop.
+    """Graceful shutdown.
 
-    :param grace_s: time between not ready and no new work, for the balancer
+    :param grace_s: time between reporting not ready and refusing new work, for the
+        load balancer
     :param timeout_s: longest wait for requests in flight
     """
 
@@ -236,7 +238,7 @@
     """Read and check a settings file.
 
     :param path: TOML file
-    :raises exceptions.SettingsError: with every problem that was found
+    :raises exceptions.SettingsError: with all problems found
     """
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
--- a/src/endivevane/daemon/wiring.py
+++ b/src/endivevane/daemon/wiring.py
@@ -45,14 +45,14 @@
 from endivevane.retention import task as retention_task
 from endivevane.web import app, server
 
-# An operator's drain request is answered before the server begins to stop.
-_DRAIN_ANSWER_S = 0.2
+# Delay before the server drains, so that an operator's drain request is answered.
+_DRAIN_RESPONSE_S = 0.2
 
 
 class Daemon:
     """All tasks of one daemon.
 
-    :param daemon_settings: the settings file
+    :param daemon_settings: the loaded settings file
     :param daemon_clock: clock for all tasks
     """
 
@@ -98,20 +98,20 @@
         )
 
     def request_stop(self) -> None:
-        """Ask for the planned stop; returns at once."""
+        """Request a graceful shutdown, without waiting for it."""
         self._stop_requested.set()
 
     def wait_stop_requested(self, timeout_s: float) -> bool:
-        """Wait a bounded time, and tell whether the planned stop was requested."""
+        """Wait for a shutdown request; return whether there was one."""
         return self._stop_requested.wait(timeout_s)
 
     def run_planned_stop(self) -> bool:
-        """Finish everything and end all tasks.
+        """Drain all work and stop all tasks.
 
-        Not ready first, so that the balancer sends no new connection; then no new work;
-        then wait for what is open.
+        Reports not ready first, so that the load balancer opens no new connections,
+        then refuses new work and waits for requests in flight.
 
-        :returns: whether every request could be finished
+        :returns: whether every request was completed
         """
         drain = self._settings.drain
         self._is_draining = True
@@ -119,7 +119,7 @@
         deadline_s = self._clock.monotonic_s() + drain.grace_s + drain.timeout_s
         self.cluster.drain(deadline_s)
         self._orders.drain(deadline_s)
-        self._stopped.wait(max(drain.grace_s, _DRAIN_ANSWER_S))
+        self._stopped.wait(max(drain.grace_s, _DRAIN_RESPONSE_S))
         self._server.begin_drain()
         batch_stop = threading.Thread(
             target=self._runner.drain, args=(drain.timeout_s,), name="batch-drain"
@@ -132,14 +132,14 @@
         logs.info("drain_ended", finished=is_finished)
         return is_finished
 
-    def list_obstacles(self) -> list[str]:
-        """Return why the daemon is not ready; empty when it is."""
-        obstacles = []
+    def list_unready_reasons(self) -> list[str]:
+        """Return the reasons why the daemon is not ready."""
+        reasons = []
         if self._is_draining:
-            obstacles.append("the daemon is stopping")
+            reasons.append("the daemon is stopping")
         if not self.cluster.is_ready():
-            obstacles.append("the configuration is not known to be current")
-        return obstacles
+            reasons.append("the configuration is not known to be current")
+        return reasons
 
     def _build_platform(self) -> None:
         platform = self._settings.platform
@@ -157,12 +157,12 @@
         charge = self._link.charge
 
         def make_pool(
-            address: str, purpose: str, bound: link.LinkShare | None = None
+            address: str, purpose: str, link_share: link.LinkShare | None = None
         ) -> http_pool.HttpPool:
             parsed = types.parse_address(address)
             if is_remote:
                 return link.LinkPool(
-                    parsed, limits, purpose, bound, charge if bound else None
+                    parsed, limits, purpose, link_share, charge if link_share else None
                 )
             return http_pool.HttpPool(parsed, limits, self._clock)
 
@@ -201,13 +201,13 @@
         self._quarantine = quarantine_exchange.QuarantineExchange(
             self._clock, self._table, self.cluster.broadcast, self.relay.post
         )
-        self._board = load_board.LoadBoard(self.relay.post)
+        self._load_table = load_board.LoadTable(self.relay.post)
         self._loads = loads.LoadsTask(
             self._place,
             loads.LoadsSettings(),
             self._clock,
             self._get_snapshot,
-            self._board.post,
+            self._load_table.post,
             get_further_targets=self._list_batch_targets,
             count_daemons=self._count_daemons,
         )
@@ -239,7 +239,7 @@
             self._table,
             self._objects,
             self._port,
-            self._board,
+            self._load_table,
             self._clock,
             self._quarantine,
         )
@@ -263,7 +263,7 @@
             self._get_snapshot,
             self._list_daemon_names,
             lambda: self._leaving,
-            self._board.find_load_share,
+            self._load_table.find_load_share,
             self._demand,
             self.cluster.send,
         )
@@ -285,22 +285,22 @@
 
     def _build_server(self) -> None:
         limits = self._settings.limits
-        parts = admin.AdminParts(
+        dependencies = admin.AdminDependencies(
             settings=self._settings,
             cluster=self.cluster,
-            loads=self._board,
+            loads=self._load_table,
             history=self._history,
             count_streams=lambda: self.relay.open_streams,
             get_leaving=lambda: self._leaving,
-            get_obstacles=self.list_obstacles,
+            get_unready_reasons=self.list_unready_reasons,
             request_drain=self.request_stop,
         )
         routes = [
             *front.routes(self.relay, self._clock),
             *self._forwarder.routes(),
             *self._batch_api.routes(),
-            *admin.AdminApi(parts).routes(),
-            *health.routes(self.list_obstacles),
+            *admin.AdminApi(dependencies).routes(),
+            *health.routes(self.list_unready_reasons),
         ]
         application = app.Application(
             routes, self._get_snapshot, limits.max_request_bytes
@@ -319,7 +319,7 @@
 
     @functools.singledispatchmethod
     def _handle_event(self, event: events.Event) -> None:
-        """Pass an event of the cluster on; runs on the cluster thread."""
+        """Forward a cluster event to the other tasks; runs on the cluster thread."""
 
     @_handle_event.register
     def _(self, event: events.ConfigurationChanged) -> None:
@@ -328,7 +328,7 @@
 
     @_handle_event.register
     def _(self, event: events.MembersChanged) -> None:
-        self._senders.forget()
+        self._senders.clear()
         self._daemon_count = None
 
     @_handle_event.register
@@ -346,15 +346,15 @@
             self._demand.receive(event.sender, event.body)
 
     def _count_daemons(self) -> int:
-        """Return the live daemons, this one included; asked for each decision."""
+        """Return the number of alive daemons; cached, as each decision reads it."""
         if self._daemon_count is None:
             self._daemon_count = max(1, len(self._port.live_members()))
         return self._daemon_count
 
     @functools.singledispatchmethod
     def _publish(self, message: object) -> None:
-        """Tell the daemons concerned what the relay found out."""
-        raise TypeError(f"the relay published {message!r}")
+        """Send a message of the relay to the daemons that it concerns."""
+        raise TypeError(f"relay published an unsupported message: {message!r}")
 
     @_publish.register
     def _(self, message: messages.QuarantineChanged) -> None:
