--- a/features/settings.feature
+++ b/features/settings.feature
@@ -43,8 +43,8 @@
       | daemon.worker_thread |
       | platform.timeout_s   |
 
-  Scenario: Settings of orders reach the task that gives them
-    Guards against a key that is accepted and has no effect.
+  Scenario: Settings of orders reach the orders task
+    Guards against a key that is accepted but has no effect.
     Given a settings file with
       """
       [daemon]
@@ -81,9 +81,9 @@
     When the settings are loaded
     Then each key of orders has its value in the task's settings, the longest term 40
 
-  Scenario: Settings of orders that contradict each other are refused
-    Guards against an engine that is given up between two rounds, and against an order
-    that counts as over while its call still waits.
+  Scenario: Contradictory settings of orders are rejected
+    Guards against an engine that counts as lost between two rounds, and against an
+    order that counts as expired while its call is in progress.
     Given a settings file with
       """
       [daemon]
@@ -114,7 +114,7 @@
       | orders.max_loads        |
       | orders.hysteresis_share |
 
-  Scenario Outline: A file that can't be parsed is one clear error
+  Scenario Outline: A file that can't be parsed gives one error
     Given a settings file with the bytes <content>
     When the settings are loaded
     Then there is one problem that mentions "<text>"
--- a/features/steps/key_rotation_steps.py
+++ b/features/steps/key_rotation_steps.py
@@ -22,7 +22,7 @@
 
 
 def _exchange(sender, receiver, name, limit_s):
-    """Send until something arrives, and tell whether it did."""
+    """Send until a message arrives; return whether one did."""
     message = gossip_messages.Ping(
         gossip_messages.Header(sender[1].daemon.name, 1, 0, 0), 1
     )
@@ -38,7 +38,7 @@
 
 
 @given(
-    "a member that lists a peer's key and has connections with it in both directions"
+    "a member that allows a peer's key and has connections with it in both directions"
 )
 def step_connect(context):
     reserved = ports.Ports()
@@ -54,20 +54,22 @@
     assert _exchange(context.peer, context.member, "member", 10)
 
 
-@when("the member takes the peer's key out")
-def step_take_out(context):
+@when("the member removes the peer's key")
+def step_remove_key(context):
     keys = context.member[1].keys
     peers = {"member": keys.peers["member"]}
     context.member[0].replace_keys(keys.model_copy(update={"peers": peers}))
 
 
-@then("both connections are closed within {limit:d} seconds and the peer gets nothing")
+@then(
+    "both connections are closed within {limit:d} seconds and the peer receives nothing"
+)
 def step_check_closed(context, limit):
     counts = context.member[0].counts
     assert not _exchange(context.peer, context.member, "member", limit)
     assert not _exchange(context.member, context.peer, "peer", 1)
     assert counts.closed == {"in": 1, "out": 1}, counts.closed
-    # Only a connection that was closed makes the peer shake hands again.
+    # A new handshake of the peer proves that its connection was closed.
     assert counts.dropped["handshake"] > 0, counts.dropped
 
 
@@ -78,12 +80,12 @@
     context.rotation.start()
 
 
-@when("a wrong settings file and SIGHUP reach each daemon")
-def step_wrong_file(context):
-    context.rotation.apply_wrong_files()
+@when("each daemon gets an invalid settings file and SIGHUP")
+def step_invalid_file(context):
+    context.rotation.apply_invalid_files()
 
 
-@then("each has refused the file and none is declared dead")
+@then("each has rejected the file and none is declared dead")
 def step_check_refused(context):
     rotation = context.rotation
     for daemon in rotation.daemons:
@@ -94,14 +96,15 @@
     rotation.expect_answers()
 
 
-@when("each daemon in turn gets a new key as the operations page says")
+@when("each daemon in turn gets a new key as the operations page describes")
 def step_rotate(context):
     for index in range(len(context.rotation.daemons)):
         context.rotation.rotate(index)
 
 
 @then(
-    "each was seen alive within {limit:d} seconds of its restart, and always otherwise"
+    "each was seen alive within {limit:d} seconds of its restart, "
+    "and at all other times"
 )
 def step_check_alive(context, limit):
     rotation = context.rotation
@@ -111,6 +114,6 @@
     assert not rotation.faults, rotation.faults
 
 
-@then("every daemon has had answers after each step")
+@then("every daemon has received answers after each step")
 def step_check_answers(context):
-    assert context.rotation.silent == [], context.rotation.silent
+    assert context.rotation.unresponsive == [], context.rotation.unresponsive
--- a/features/steps/stopping_steps.py
+++ b/features/steps/stopping_steps.py
@@ -6,7 +6,7 @@
 from bench import experiment, load
 from tools import fleet
 
-_LEAVING_BOUND_S = 3.0
+_LEAVING_LIMIT_S = 3.0
 
 
 def start_fleet(context, **plan):
@@ -52,7 +52,7 @@
 )
 def step_rolling(context, count):
     daemons = context.fleet.daemons
-    # A stop takes 1 s of grace and the longest stream, a start 1 to 2 s.
+    # A stop takes 1 s of grace plus the longest stream, a start 1 to 2 s.
     start_load(context, duration_s=count * 3.0)
     context.statuses = []
     for index in range(count):
@@ -63,7 +63,7 @@
     context.load_thread.join()
 
 
-@then("every online request is answered whole")
+@then("every online request is answered completely")
 def step_whole(context):
     outcomes = context.load_result.outcomes
     assert len(outcomes) > 50, len(outcomes)
@@ -99,7 +99,7 @@
     late = [
         run["started_at_s"] - context.listed_at_s
         for run in runs
-        if run["started_at_s"] > context.listed_at_s + _LEAVING_BOUND_S
+        if run["started_at_s"] > context.listed_at_s + _LEAVING_LIMIT_S
     ]
     assert len(before) > 5, len(before)
     assert not late, late
@@ -130,7 +130,7 @@
     thread.join()
 
 
-@then("the stream is answered whole by that engine alone")
+@then("the stream is answered completely by that engine alone")
 def step_one_engine(context):
     outcome, *_ = context.load_result.outcomes
     assert outcome.is_complete, outcome.problem
--- a/features/support/key_rotation.py
+++ b/features/support/key_rotation.py
@@ -1,4 +1,4 @@
-"""Daemons in processes of their own whose CURVE keys are rotated."""
+"""Rotates the CURVE keys of daemons that run in separate processes."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 
 class Rotation:
-    """Rotates keys and samples what each daemon thinks of the others."""
+    """Rotates keys and samples the member states that each daemon reports."""
 
     def __init__(self, count):
         plan = fleet.FleetPlan(daemons=count, engines=1, has_own_keys=True)
@@ -26,7 +26,7 @@
         self._stop = threading.Event()
         self._sampler = threading.Thread(target=self._sample, daemon=True)
         self.faults = []
-        self.silent = []
+        self.unresponsive = []
         self.seen_alive_s = []
 
     @property
@@ -44,7 +44,7 @@
             self._sampler.join(5)
         self._fleet.close()
 
-    def apply_wrong_files(self):
+    def apply_invalid_files(self):
         for daemon in self.daemons:
             text = daemon.settings_path.read_text()
             self._change(daemon, lambda keys: keys.update(peers={"x": "short"}))
@@ -69,11 +69,11 @@
         self.expect_answers()
 
     def expect_answers(self):
-        """Note the daemons that get no further answers to their probes."""
+        """Record the daemons that get no further answers to their probes."""
         before = [self._read(daemon, _ACKS) for daemon in self.daemons]
         for daemon, value in zip(self.daemons, before, strict=True):
             if not self._wait(lambda d=daemon, v=value: self._read(d, _ACKS) > v + 1):
-                self.silent.append(daemon.name)
+                self.unresponsive.append(daemon.name)
 
     def _change_all(self, name, keys):
         for daemon in self.daemons:
@@ -102,7 +102,7 @@
                 except OSError:
                     continue
                 for name, state in states.items():
-                    # A suspicion may follow from a pause of the machine.
+                    # Only dead is a fault: a pause of the machine may cause suspicion.
                     is_dead = state == "dead"
                     if is_dead and skipped is None and self._restarting is None:
                         self.faults.append((daemon.name, name, state))
