--- a/features/steps/regions_steps.py
+++ b/features/steps/regions_steps.py
@@ -7,13 +7,13 @@
 from endivevane.ctl import exits
 from features.support import engine_caller, region_fleet, region_plan
 
-_RETURN_BOUND_S = 12.0
-# The published target for the first token; while long requests hold all local slots,
-# a short one waits for the end of one of them (200 tokens of 20 ms) besides.
+_RECOVERY_LIMIT_S = 12.0
+# The published target for the first token. While long requests hold all local slots, a
+# short one also waits for one of them to complete (200 tokens of 20 ms).
 _FIRST_TOKEN_S = 1.7
 _LONG_S = 4.0
 _LONG_TOKENS = 200
-_WAVE = 20
+_BURST_SIZE = 20
 _OTHER_DEADLINE_S = 61.0
 
 
@@ -40,7 +40,7 @@
 @given("long requests of which some spilled into the other region")
 def step_spill(context):
     regions = context.regions
-    regions.start_long_calls(context.first[0], _WAVE, _LONG_TOKENS)
+    regions.start_long_calls(context.first[0], _BURST_SIZE, _LONG_TOKENS)
     remote = [item for item in regions.fleet.engines if item.zone == "zone-c"]
 
     def has_spilled():
@@ -56,7 +56,7 @@
 
 
 def _publish(context, *arguments):
-    """Publish another deadline, or the same files again, as the error text says."""
+    """Publish another deadline, or the same files again after a failed confirmation."""
     running = context.regions.fleet
     path = running.documents / "answers.endivevane.toml"
     text = path.read_text()
@@ -109,12 +109,12 @@
     context.restarted_s = time.monotonic()
 
 
-@then("up to the end of the cut it is ready only with the revision of its zone's peer")
+@then("until the end of the cut it is ready only with the revision of its zone's peer")
 def step_vouched(context):
-    # The rule of docs/decisions/configuration-in-force.md: the zone goes on with its
-    # last confirmed revision, and a restarted daemon takes the peers' word for it.
+    # The rule of docs/decisions/configuration-in-force.md: the zone keeps using its
+    # last confirmed revision, which a restarted daemon accepts from its peers.
     regions = context.regions
-    regions.start_long_calls(context.first[0], _WAVE, _LONG_TOKENS)
+    regions.start_long_calls(context.first[0], _BURST_SIZE, _LONG_TOKENS)
     time.sleep(regions.cut_s + region_plan.CUT_S - time.monotonic())
     restarted, peer = (regions.samples[item.name] for item in context.second)
     ready = [
@@ -144,7 +144,7 @@
     context.paused_s = time.monotonic()
 
 
-@when("the killed and the paused daemons go on after {pause_s:d} s")
+@when("the killed and the paused daemons resume after {pause_s:d} s")
 def step_go_on(context, pause_s):
     time.sleep(context.paused_s + pause_s - time.monotonic())
     context.resumed_s = time.monotonic()
@@ -184,13 +184,13 @@
 
     engine_caller.wait_until(
         lambda: _all_samples(context, daemons, accepts),
-        _RETURN_BOUND_S,
+        _RECOVERY_LIMIT_S,
         "not every daemon has the last revision",
     )
     print(f"revision in force after {time.monotonic() - context.regions.back_s:.1f} s")
 
 
-@then("within 12 s of the return all members see each other alive")
+@then("within 12 s of the link's return all members see each other alive")
 def step_alive(context):
     daemons = context.regions.fleet.daemons
 
@@ -198,32 +198,34 @@
         is_alive = set(sample.members.values()) == {"alive"}
         return is_alive and len(sample.members) == len(daemons)
 
-    left_s = context.regions.back_s + _RETURN_BOUND_S - time.monotonic()
+    left_s = context.regions.back_s + _RECOVERY_LIMIT_S - time.monotonic()
     engine_caller.wait_until(
         lambda: _all_samples(context, daemons, accepts), left_s, "not all are alive"
     )
     print(f"all alive after {time.monotonic() - context.regions.back_s:.1f} s")
 
 
-@then("no daemon ever went back or was ready with less than it had")
+@then("no daemon was ever ready with a lower revision than before")
 def step_monotone(context):
     for name, samples in context.regions.samples.items():
         revisions = [item.revision for item in samples if item.ready]
         assert revisions == sorted(revisions), (name, revisions)
 
 
-@then("each long request has its whole answer")
+@then("each long request has its complete answer")
 def step_long(context):
     regions = context.regions
     engine_caller.wait_until(
-        lambda: len(regions.long_calls) == 2 * _WAVE, 30.0, "long calls run on"
+        lambda: len(regions.long_calls) == 2 * _BURST_SIZE,
+        30.0,
+        "long calls are still running",
     )
-    broken = [item for item in regions.long_calls if not item.is_whole]
+    broken = [item for item in regions.long_calls if not item.is_complete]
     assert not broken, broken
 
 
-def _allow_s(regions, call):
-    """Return the bound on the first token, by what else ran when the call began."""
+def _find_limit_s(regions, call):
+    """Return the limit for the first token, given the load at the start of the call."""
     is_full = any(
         item.started_s - 0.5 < call.started_s < item.ended_s
         for item in regions.long_calls
@@ -245,21 +247,23 @@
         for item in regions.calls
         if regions.cut_s < item.started_s
         and item.ended_s < regions.back_s
-        # Its callers are sent elsewhere by the balancer once it is not ready.
+        # The load balancer routes its callers elsewhere once it is not ready.
         and not (item.daemon == restarted and item.ended_s > context.killed_s)
     ]
     assert len(during) > 100, len(during)
     for item in during:
-        assert item.is_whole, item
+        assert item.is_complete, item
         found = runs[region_fleet.digest(item.prompt)]
         assert [engine.zone for engine, _ in found] == [zones[item.daemon]], (
             item,
             found,
         )
     long = sorted(item.first_token_s for item in regions.long_calls)
-    slow = max(during, key=lambda item: item.first_token_s - _allow_s(regions, item))
+    slow = max(
+        during, key=lambda item: item.first_token_s - _find_limit_s(regions, item)
+    )
     print(f"{len(during)} calls; first tokens of long requests {long}; slowest {slow}")
-    assert slow.first_token_s <= _allow_s(regions, slow), slow
+    assert slow.first_token_s <= _find_limit_s(regions, slow), slow
 
 
 @given("two regions with one daemon each")
@@ -276,10 +280,10 @@
     context.muted_s = time.monotonic()
 
 
-@then("within {limit_s:d} s each hears the other again")
+@then("within {limit_s:d} s each receives messages from the other again")
 def step_heard(context, limit_s):
-    # A daemon has no other peer, so that each message comes from the other one. What
-    # was on its way at the cut has arrived after half a second.
+    # Each daemon has one peer, so each message comes from it. Messages in flight when
+    # the connections were muted arrive within half a second.
     time.sleep(0.5)
     daemons = context.regions.fleet.daemons
     before = [_count_messages(item) for item in daemons]
@@ -290,13 +294,13 @@
             for item, count in zip(daemons, before, strict=True)
         ),
         left_s,
-        "messages do not get through",
+        "messages do not arrive",
     )
     print(f"heard after {time.monotonic() - context.muted_s:.1f} s")
 
 
 def _count_messages(daemon):
-    """Return how many messages of other daemons a daemon has received."""
+    """Return the number of messages that a daemon received from other daemons."""
     with urllib.request.urlopen(f"{daemon.url}/metrics") as response:
         lines = response.read().decode().splitlines()
     prefix = "endivevane_cluster_messages_total{"
--- a/features/steps/regions_work_steps.py
+++ b/features/steps/regions_work_steps.py
@@ -10,9 +10,9 @@
 _SERVICE = "chat"
 _SECOND_MODEL = "second-lm"
 _ORDERS = "/services/desk/orders"
-# A daemon looks at the open jobs every 0.55 s at most; the look takes up to two calls
-# of the table service, each of which may first meet a connection from before the cut.
-_CANCEL_BOUND_S = 3.0
+# A daemon polls the open jobs at least every 0.55 s. A poll takes up to two calls of
+# the table service, each of which may first try a connection from before the cut.
+_CANCEL_LIMIT_S = 3.0
 
 
 @given('two regions in which "{owner}" of the second one owns the engines')
@@ -21,7 +21,7 @@
         services=2,
         service_arguments=("--work-ms", "1500"),
         engine_arguments=("--load-ms", "200"),
-        # Each engine must have the model, so that its owner acts when one loses it.
+        # Each engine must have the model, so that the owner reacts when one loses it.
         model_service={"models": [{"name": "small-lm", "min_replicas": 4}]},
     )
     context.cleanups.append(regions.close)
@@ -40,8 +40,8 @@
 def _rename_service(running):
     """Publish the service under a new name.
 
-    While daemons start, any of them may own the engines. The owner of a new name is the
-    first choice of the hash among all daemons.
+    During start-up any daemon may become the owner of the engines. The owner for a new
+    name is the one that the hash selects among all daemons.
     """
     old, new = fleet_plan.MODEL_SERVICE, _SERVICE
     path = running.documents / f"{old}.endivevane.toml"
@@ -58,7 +58,7 @@
 
 
 def _read_owner(context):
-    """Return the owner of the engines and its fencing number."""
+    """Return the owner of the engines and its fencing token."""
     store = context.regions.fleet.store
     status, _, row = engine_caller.get(store.address, f"/v1/rows/owners/{_SERVICE}")
     return (row["value"]["owner"], row["revision"]) if status == 200 else ("", 0)
@@ -90,7 +90,7 @@
 def _await_shared(context, job_id):
     """Wait until daemons of both regions hold chunks of a job.
 
-    A busy daemon looks at further jobs every 10 s.
+    A busy daemon polls for further jobs every 10 s.
     """
     names = {item.name for item in context.second}
 
@@ -199,9 +199,11 @@
     assert len({row["key"] for row in _rows(context, "jobs")}) == 2
 
 
-@then("the cut-off daemons ran what they held of the cancelled job and stopped in time")
+@then(
+    "the cut-off daemons ran only their chunks of the cancelled job and stopped in time"
+)
 def step_stopped(context):
-    time.sleep(max(0.0, context.back_wall_s + _CANCEL_BOUND_S + 2.0 - time.time()))
+    time.sleep(max(0.0, context.back_wall_s + _CANCEL_LIMIT_S + 2.0 - time.time()))
     late = []
     count = 0
     for engine in context.regions.fleet.engines:
@@ -216,7 +218,7 @@
             chunk = f"{context.cancelled_id}/{int(number.split('-')[0]):06d}"
             if chunk not in context.held or engine.zone != "zone-c":
                 late.append((engine.name, run))
-            if sent_s > context.back_wall_s + _CANCEL_BOUND_S:
+            if sent_s > context.back_wall_s + _CANCEL_LIMIT_S:
                 late.append((engine.name, run))
     print(
         f"{count} items of the cancelled job sent after the cancel, of {context.held}"
@@ -243,7 +245,7 @@
         for key, answer in context.answers.items():
             status, _, body = _order(daemon, context, key)
             assert (status, body) == (200, answer), (daemon.name, key, status, body)
-        # A refused call may be sent again, and runs then.
+        # A refused call did not run, so a retry runs.
         status, _, body = _order(daemon, context, "cut-0")
         assert status == 200, (daemon.name, body)
     records = [item.record() for item in context.regions.fleet.services]
@@ -251,7 +253,7 @@
     assert sorted(keys) == ["before", "cut-0", "first"], keys
 
 
-@then("no engine took an order of the old owner after its term")
+@then("no engine accepted an order of the old owner after its term")
 def step_old_owner(context):
     owner, context.number = _read_owner(context)
     assert owner in {item.name for item in context.first}, owner
@@ -270,11 +272,11 @@
         assert not late, (engine.name, late)
 
 
-@then("within 12 s every engine follows the new owner and has what was published")
+@then("within 12 s every engine follows the new owner and has the published models")
 def step_new_owner(context):
     engines = context.regions.fleet.engines
 
-    def is_settled():
+    def has_converged():
         states = [engine_caller.get(item.address, "/v1/state")[2] for item in engines]
         loaded = [{model["model"] for model in item["models"]} for item in states]
         numbers = {item["fencing_number"] for item in states}
@@ -283,5 +285,5 @@
         return min(numbers) >= context.number and has_first and has_second
 
     engine_caller.wait_until(
-        is_settled, 12.0, "the engines do not follow the new owner"
+        has_converged, 12.0, "the engines do not follow the new owner"
     )
--- a/features/support/region_fleet.py
+++ b/features/support/region_fleet.py
@@ -1,4 +1,4 @@
-"""Two regions with callers in each, and samples of what the daemons say."""
+"""Two regions with callers in each, and samples of the daemons' status."""
 
 import collections
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass
 class Sample:
-    """What a daemon said at one moment; ``members`` is the state by name."""
+    """Status of a daemon at a point in time; ``members`` maps names to states."""
 
     at_s: float
     ready: bool
@@ -37,21 +37,21 @@
     text: str = ""
 
     @property
-    def is_whole(self):
+    def is_complete(self):
         wanted = engine_caller.expected_text(self.prompt, self.tokens)
         return self.status == 200 and self.text == wanted
 
 
 def take_sample(get):
-    """Return what a daemon says at one moment.
+    """Return the status of a daemon at a point in time.
 
     :param get: returns status, headers and body of a path
     """
     status, _, body = get("/admin/status")
     if status != 200:
-        # Without a revision a daemon can't check the operator's key. One that has got
-        # its revision between the two questions is asked again, so that the sample
-        # does not join answers of two moments.
+        # Without a revision a daemon can't check the operator's key. If it got its
+        # revision between the two requests, ask again, so that the sample does not
+        # combine answers from before and after.
         ready_status, _, _ = get("/readyz")
         if ready_status == 200:
             status, _, body = get("/admin/status")
@@ -63,7 +63,7 @@
 
 
 class RegionFleet(batch_fleet.BatchFleet):
-    """A fleet whose daemons are sampled and called all the time."""
+    """A fleet whose daemons are continuously sampled and called."""
 
     def __init__(self, **changes):
         self.fleet = fleet.Fleet(region_plan.make_plan(**changes))
@@ -100,7 +100,7 @@
 
     def start_callers(self):
         for daemon in self.fleet.daemons:
-            self._run(self._call_often, daemon)
+            self._run(self._call_repeatedly, daemon)
 
     def start_long_calls(self, daemon, count, tokens):
         for _ in range(count):
@@ -114,7 +114,7 @@
         return samples[-1]
 
     def read_runs(self):
-        """Return the engines' runs by digest of the prompt, with the engine."""
+        """Return the engines and their runs, by digest of the prompt."""
         runs = collections.defaultdict(list)
         for engine in self.fleet.engines:
             for run in engine.record()["runs"]:
@@ -122,7 +122,7 @@
         return runs
 
     def stop_callers(self):
-        """Let calls that run finish, and start no further one."""
+        """Start no further calls, and wait for running ones to complete."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
@@ -143,7 +143,7 @@
                 continue
             self.samples[daemon.name].append(sample)
 
-    def _call_often(self, daemon):
+    def _call_repeatedly(self, daemon):
         while not self._stopped.wait(0.1):
             self._call(daemon, 10, self.calls)
 
--- a/features/support/region_plan.py
+++ b/features/support/region_plan.py
@@ -1,4 +1,4 @@
-"""The fleet of the scenarios about two regions; features/regions.feature says why."""
+"""Fleet plan of the two-region scenarios; features/regions.feature has the reasons."""
 
 from tools import fleet
 
@@ -13,7 +13,7 @@
 
 
 def make_plan(**changes):
-    """Return a plan: daemons 0, 2, 4 are in the region of the store."""
+    """Return a plan with daemons 0, 2 and 4 in the region of the store."""
     parts = {
         "daemons": 5,
         "engines": 4,
