--- a/features/steps/configuration_feed_steps.py
+++ b/features/steps/configuration_feed_steps.py
@@ -16,7 +16,7 @@
 
 
 class SlowStore:
-    """Passes calls on after a delay."""
+    """Delays calls to a table store."""
 
     def __init__(self, inner):
         self.inner = inner
@@ -39,7 +39,7 @@
 
 
 class Probe:
-    """A transport of a peer that is none of the members."""
+    """A transport of a peer that is not a member."""
 
     def __init__(self, context, keys, name="outsider"):
         self.address = context.group._ports.reserve_address()
@@ -51,14 +51,14 @@
         self.received = []
         context.cleanups.append(self.transport.close)
 
-    def greet(self, task, address, public_key):
+    def send_requests(self, task, address, public_key):
         self.transport.connect(task.session().daemon, address, public_key)
         header = gossip_messages.Header("outsider", 0)
-        place = members.Description(self.address, "z1", "r1")
-        update = members.Update("outsider", 0, members.MemberState.ALIVE, place)
-        greeting = gossip_messages.Header("outsider", 0, updates=(update,))
+        description = members.Description(self.address, "z1", "r1")
+        update = members.Update("outsider", 0, members.MemberState.ALIVE, description)
+        header_with_update = gossip_messages.Header("outsider", 0, updates=(update,))
         self.transport.send(
-            task.session().daemon, gossip_messages.SyncRequest(greeting, 0)
+            task.session().daemon, gossip_messages.SyncRequest(header_with_update, 0)
         )
         self.transport.send(task.session().daemon, messages.ConfigGet(header, {}))
 
@@ -95,7 +95,7 @@
         )
 
 
-@then("each revision was in force in all members within {limit:g} seconds")
+@then("all members applied each revision within {limit:g} seconds")
 def step_check_delays(context, limit):
     print(f"in force after {context.delays}")
     assert all(delay is not None and delay <= limit for delay in context.delays)
@@ -187,7 +187,7 @@
     step_check_ready(context, number, revision, limit)
 
 
-@given("3 live daemons of a zone of which one has applied an older revision")
+@given("3 alive daemons of a zone, one of which has applied an older revision")
 def step_zone(context):
     context.applied = {"d1": 7, "d2": 5, "d3": 7, "gone": 1}
     context.live = ["d1", "d2", "d3"]
@@ -228,14 +228,14 @@
 def step_send_unknown(context):
     public, secret = (key.decode() for key in zmq.curve_keypair())
     allowed = [item["public"] for item in context.group.keys]
-    stranger = {"public": public, "secret": secret, "peer_public": allowed}
-    context.probes = [Probe(context, stranger), Probe(context, None)]
+    unknown_keys = {"public": public, "secret": secret, "peer_public": allowed}
+    context.probes = [Probe(context, unknown_keys), Probe(context, None)]
     context.views = [task.members() for task in context.group.tasks]
     for _ in range(4):
         for probe in context.probes:
             for number, task in enumerate(context.group.tasks):
                 address = context.group.addresses[number]
-                probe.greet(task, address, allowed[number])
+                probe.send_requests(task, address, allowed[number])
             probe.listen(0.25)
 
 
@@ -249,15 +249,15 @@
         task.transport.counts.dropped["handshake"] for task in context.group.tasks
     ]
     assert all(count >= 1 for count in refused), refused
-    # The same greeting with an allowed key is answered, so silence meant refusal.
-    friend = Probe(context, context.group.keys[0])
-    friend.greet(
+    # The same messages with an allowed key are answered, so no answer means rejected.
+    allowed_probe = Probe(context, context.group.keys[0])
+    allowed_probe.send_requests(
         context.group.tasks[1],
         context.group.addresses[1],
         context.group.keys[1]["public"],
     )
-    friend.listen(1.0)
-    assert friend.received
+    allowed_probe.listen(1.0)
+    assert allowed_probe.received
 
 
 @when("an allowed peer sends {count:d} malformed messages")
@@ -294,7 +294,7 @@
     counts = context.group.tasks[1].transport.counts
     dropped = counts.dropped["malformed"] + counts.dropped["frames"]
     assert dropped == 200, counts.dropped
-    context.probe.greet(
+    context.probe.send_requests(
         context.group.tasks[1],
         context.group.addresses[1],
         context.group.keys[1]["public"],
@@ -354,7 +354,7 @@
 
 @when('a host with the key of "{owner}" sends a cancel as "{sender}" from "{origin}"')
 def step_speak_as(context, owner, sender, origin):
-    """The message goes to the member 0, on a connection that is opened for it."""
+    """Send the message to member 0 over a new connection."""
     keys = context.group.keys[int(owner[1:])]
     probe = Probe(context, keys, owner)
     task = context.group.tasks[0]
@@ -368,7 +368,7 @@
     message = messages.Application(header, "job_cancelled", body, origin)
     probe.transport.send("d0", message)
     probe.listen(1.0)
-    context.told = [
+    context.delivered = [
         event.body["job_id"]
         for event in context.received
         if isinstance(event, events.PeerMessage)
@@ -378,13 +378,13 @@
 
 @then("the member takes the cancel")
 def step_check_taken(context):
-    assert context.told == [context.job_id], context.told
+    assert context.delivered == [context.job_id], context.delivered
 
 
 @then("the member drops the cancel and counts a wrong name")
 def step_check_dropped(context):
     dropped = context.group.tasks[0].transport.counts.dropped["wrong_name"]
-    assert context.told == [] and dropped == context.before + 1, (
-        context.told,
+    assert context.delivered == [] and dropped == context.before + 1, (
+        context.delivered,
         dropped,
     )
--- a/features/steps/silent_store_steps.py
+++ b/features/steps/silent_store_steps.py
@@ -32,7 +32,7 @@
     "within {limit:d} seconds"
 )
 def step_check_online(context, count, limit):
-    # The daemon's limit for one call to the store is 5 s; an answer takes about 0.1 s.
+    # The daemon's timeout for a store call is 5 s; an answer takes about 0.1 s.
     address = context.fleet.daemons[0].address
     for number in range(count):
         body = engine_caller.make_body(f"question {number}", 8)
@@ -71,7 +71,7 @@
 
 @then("the answer took at most {limit:d} seconds")
 def step_check_time(context, limit):
-    # The route's time limit is 5 s, its default; 2 s more allow for a busy machine.
+    # The route's timeout is the default of 5 s; 2 s more allow for a busy machine.
     assert context.elapsed_s <= limit, context.elapsed_s
 
 
--- a/features/support/cluster_members.py
+++ b/features/support/cluster_members.py
@@ -1,4 +1,4 @@
-"""Members with real sockets: several in this process, or each in its own."""
+"""Cluster members with real sockets, in this process or one process each."""
 
 import json
 import random
@@ -58,7 +58,7 @@
 
 
 def wait_until(is_done, limit_s):
-    """Wait until a condition holds and return how long that took, or None."""
+    """Wait for a condition; return the seconds waited, or ``None`` on a timeout."""
     started_s = time.monotonic()
     while time.monotonic() - started_s < limit_s:
         if is_done():
@@ -68,7 +68,7 @@
 
 
 class LocalGroup:
-    """Cluster tasks in this process, over a table store in memory."""
+    """Cluster tasks in this process, using an in-memory table store."""
 
     def __init__(self, count, table_store, has_keys=True, has_names=False):
         self.store = table_store
@@ -140,7 +140,7 @@
 
 
 class ProcessGroup:
-    """Each member in its own process, over the stand-in platform."""
+    """One process for each member, using the stand-in platform."""
 
     def __init__(self, count, term_s):
         self._ports = ports.Ports()
--- a/features/support/member_process.py
+++ b/features/support/member_process.py
@@ -1,4 +1,4 @@
-"""A cluster task in a process of its own that prints what it would act on."""
+"""Runs a cluster task and prints its session, revision and readiness."""
 
 import json
 import pathlib
@@ -21,7 +21,7 @@
     task = tasks.ClusterTask(settings, clock.SystemClock(), client)
     task.start()
     while True:
-        # The time comes first: what follows was read at or after it, also after a stop.
+        # Taken first: all other values are read at or after it, even across a pause.
         at_s = time.monotonic()
         session = task.session()
         line = {
