--- a/features/leases.feature
+++ b/features/leases.feature
@@ -23,10 +23,10 @@
   Scenario Outline: What a daemon may still do when it can't renew
     # Guards against orders to engines, claims and calls without the lease or the store
     # that they need.
-    Then "<action>" is <with lease> with a lease and an unavailable store, <without lease> without both, and <lapsed> with a store but no lease
+    Then "<action>" is <with lease> with a lease and an unavailable store, <without lease> without both, and <expired> with a store but no lease
 
     Examples:
-      | action            | with lease | without lease | lapsed  |
+      | action            | with lease | without lease | expired |
       | SERVE_ONLINE      | allowed    | allowed       | allowed |
       | RUN_CLAIMED_ITEM  | allowed    | allowed       | allowed |
       | COMMIT_CHUNK      | allowed    | allowed       | allowed |
--- a/features/steps/leases_steps.py
+++ b/features/steps/leases_steps.py
@@ -54,14 +54,14 @@
 
 @then(
     '"{action}" is {with_lease} with a lease and an unavailable store, '
-    "{without} without both, and {lapsed} with a store but no lease"
+    "{without} without both, and {expired} with a store but no lease"
 )
-def step_check_action(context, action, with_lease, without, lapsed):
+def step_check_action(context, action, with_lease, without, expired):
     checked_action = lease.Action[action]
     cases = (
         (True, False, with_lease),
         (False, False, without),
-        (False, True, lapsed),
+        (False, True, expired),
         (True, True, "allowed"),
     )
     for has_lease, has_store, expected in cases:
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -83,7 +83,7 @@
     "and a member of each region dies"
 )
 def step_cut(context, duration):
-    context.network.cut_regions = True
+    context.network.is_partitioned = True
     context.network.run(duration / 2)
     for region in ("r1", "r2"):
         nodes = context.network.nodes
@@ -92,7 +92,7 @@
         ]
         context.network.kill(names[0])
     context.network.run(duration / 2)
-    context.network.cut_regions = False
+    context.network.is_partitioned = False
 
 
 @when("a member announces that it is leaving")
--- a/features/steps/orders_roles_steps.py
+++ b/features/steps/orders_roles_steps.py
@@ -105,10 +105,10 @@
 
 
 def _decide(context, views):
-    wanted = context.assigner.compute(
+    assigned = context.assigner.compute(
         context.service.model, context.service.targets, views, 8
     )
-    return {name for name, role in wanted.items() if role == "prefill"}
+    return {name for name, role in assigned.items() if role == "prefill"}
 
 
 @then('{count:d} engines have the role prefill, none of them holds "a"')
--- a/features/support/fuzz_membership.py
+++ b/features/support/fuzz_membership.py
@@ -96,7 +96,7 @@
             self.deliver(data.draw(st.integers(0, len(self.network) - 1)), keep)
 
     @stateful.rule(name=st.sampled_from(_NAMES))
-    def pause_or_wake(self, name):
+    def pause_or_resume(self, name):
         type(self).steps_run += 1
         self.paused.symmetric_difference_update({name})
 
@@ -111,7 +111,7 @@
             self.start_process(name)
 
     @stateful.rule(name=st.sampled_from(_NAMES), accused=st.sampled_from(_NAMES))
-    def report_lapsed(self, name, accused):
+    def report_expiry(self, name, accused):
         type(self).steps_run += 1
         if name in self.detectors and name not in self.paused:
             self.detectors[name].report_session_expired(accused)
--- a/features/support/fuzz_shares.py
+++ b/features/support/fuzz_shares.py
@@ -64,7 +64,7 @@
             self.daemons[item[1]].receive(item[2])
 
     def check_sum(self):
-        """Allow an excess while daemons are unaware of each other's late messages."""
+        """Check the sum; late messages leave daemons unaware of each other."""
         pool = _RATE * (1 - self.settings.floor_share)
         slack = len(_NAMES) * pool * self.late_s / self.settings.ramp_s
         found = [item.compute_share(_RATE) for item in self.daemons.values()]
--- a/features/support/pump.py
+++ b/features/support/pump.py
@@ -12,7 +12,7 @@
 from endivevane.coordination import clock, members, membership, probes
 
 TICK_S = 0.1
-SETTLE_S = 2.0
+WARM_UP_S = 2.0
 JOIN_INTERVAL_S = 0.5
 LOCAL_LATENCY_S = 0.0015
 REGION_LATENCY_S = 0.020
@@ -37,7 +37,7 @@
         self.pause_s = pause_s
         self.pause_share = pause_share
         self.nodes = {}
-        self.cut_regions = False
+        self.is_partitioned = False
         self.killed_s = {}
         self.deaths = []
         self.suspicions = 0
@@ -76,7 +76,7 @@
             queue = node.detector._view.queue
             while queue.take(count, count):
                 pass
-        self.run(SETTLE_S)
+        self.run(WARM_UP_S)
         self.messages.clear()
 
     def kill(self, name):
@@ -165,7 +165,7 @@
             if receiver is None or self.random.random() < self.loss:
                 continue
             is_local = receiver.region == node.region
-            if self.cut_regions and not is_local:
+            if self.is_partitioned and not is_local:
                 continue
             latency_s = LOCAL_LATENCY_S if is_local else REGION_LATENCY_S
             delay_s = latency_s * self.random.uniform(1.0, 2.0)
--- a/src/endivevane/coordination/admission.py
+++ b/src/endivevane/coordination/admission.py
@@ -68,10 +68,10 @@
             self._baseline_s, settings.min_latency_s
         )
         gradient = min(1.0, max(0.5, queueing_threshold_s / max(self._recent_s, 1e-9)))
-        wanted = self._limit * gradient
+        desired = self._limit * gradient
         if gradient == 1.0 and in_flight * 2 >= self._limit:
-            wanted += math.sqrt(self._limit)
-        self._set_limit(self._limit + settings.smoothing * (wanted - self._limit))
+            desired += math.sqrt(self._limit)
+        self._set_limit(self._limit + settings.smoothing * (desired - self._limit))
 
     def record_overload(self) -> None:
         """Lower the limit after the target refused a request or timed out."""
--- a/src/endivevane/coordination/budget.py
+++ b/src/endivevane/coordination/budget.py
@@ -19,9 +19,9 @@
 
     def take(self, count: int, now_s: float) -> bool:
         """Take ``count`` tokens if that many are available."""
-        passed_s = now_s - self._updated_s
+        elapsed_s = now_s - self._updated_s
         self._updated_s = now_s
-        self._tokens = min(self._burst, self._tokens + passed_s * self._rate_per_s)
+        self._tokens = min(self._burst, self._tokens + elapsed_s * self._rate_per_s)
         if self._tokens < count:
             return False
         self._tokens -= count
--- a/src/endivevane/coordination/links.py
+++ b/src/endivevane/coordination/links.py
@@ -16,7 +16,7 @@
 
     :param view: this daemon's view of the membership
     :param registry: probes in flight
-    :param settings: times and bounds
+    :param settings: timeouts and limits
     :param generator: source of random choices
     """
 
@@ -49,7 +49,7 @@
                 del self._last_seen_s[name]
 
     def find_gateway(self, zone: str) -> str | None:
-        """Return the member that acts for a zone, or ``None`` for an empty one."""
+        """Return the gateway of a zone, or ``None`` for an empty zone."""
         names = self._view.table.list_zone(zone)
         for name in names:
             member = self._view.table.get(name)
@@ -129,7 +129,7 @@
         self._contact_offset[zone] = self._contact_offset.get(zone, 0) + 1
 
     def list_links(self, now_s: float) -> list[str]:
-        """Return members that this daemon exchanges probes with at present."""
+        """Return the members that this daemon currently exchanges probes with."""
         names: dict[str, None] = {}
         for ring in range(self._settings.rings):
             for name in self.list_probe_targets(ring)[-1:]:
--- a/src/endivevane/coordination/membership.py
+++ b/src/endivevane/coordination/membership.py
@@ -41,7 +41,7 @@
 
     :param name: name of this daemon
     :param description: location and address of this daemon
-    :param settings: times and bounds
+    :param settings: timeouts and limits
     :param detector_clock: only its monotonic part is used
     :param generator: source of all random choices
     """
@@ -72,14 +72,14 @@
         self._reconnects: list[str] = []
         self._has_new_revision = False
         self._last_call_s = now_s
-        self._push_at_s = now_s
-        self._repair_at_s = now_s
+        self._next_push_s = now_s
+        self._next_repair_s = now_s
         self._contacts: list[str] = []
         self._rows_budget = budget.MessageBudget(_ROWS_PER_S, _ROWS_BURST, now_s)
         self._push_budget = budget.MessageBudget(_PUSHES_PER_S, _PUSHES_BURST, now_s)
         self._check_budget = budget.MessageBudget(_CHECKS_PER_S, _CHECKS_BURST, now_s)
-        self._sync_at_s = now_s + self._jitter(settings.sync_interval_s)
-        self._ring_at_s = [
+        self._next_sync_s = now_s + self._jitter(settings.sync_interval_s)
+        self._next_probe_s = [
             now_s + settings.probe_interval_s * generator.random()
             for _ in range(settings.rings)
         ]
@@ -97,7 +97,7 @@
         return self._view.table
 
     def find_gateway(self, zone: str) -> str | None:
-        """Return the member that acts for a zone, or ``None`` for an empty one."""
+        """Return the gateway of a zone, or ``None`` for an empty zone."""
         return self._links.find_gateway(zone)
 
     def is_gateway(self) -> bool:
@@ -105,7 +105,7 @@
         return self._links.is_gateway()
 
     def list_links(self) -> list[str]:
-        """Return members that this daemon exchanges probes with at present."""
+        """Return the members that this daemon currently exchanges probes with."""
         return self._links.list_links(self._last_call_s)
 
     def was_region_seen(self, region: str) -> bool:
@@ -229,18 +229,18 @@
         now_s = self._last_call_s
         self._expire_probes(now_s)
         self._view.expire(now_s)
-        for ring, due_s in enumerate(self._ring_at_s):
+        for ring, due_s in enumerate(self._next_probe_s):
             if due_s > now_s:
                 continue
             interval_s = self._jitter(self._settings.probe_interval_s)
-            self._ring_at_s[ring] = now_s + interval_s
+            self._next_probe_s[ring] = now_s + interval_s
             names = self._links.list_probe_targets(ring)
             if ring == 0:
                 names += self._sync_new_contacts()
             for name in names:
                 self._start_probe(name)
-        if self._sync_at_s <= now_s:
-            self._sync_at_s = now_s + self._jitter(self._settings.sync_interval_s)
+        if self._next_sync_s <= now_s:
+            self._next_sync_s = now_s + self._jitter(self._settings.sync_interval_s)
             partner = self._links.choose_sync_partner()
             if partner is not None:
                 self._send_sync_request(partner)
@@ -349,19 +349,19 @@
 
     def _push(self, now_s: float) -> None:
         """Send new updates to all links without waiting for the next probes."""
-        if now_s < self._push_at_s:
+        if now_s < self._next_push_s:
             return
         queue = self._view.queue
         # With many changes, piggybacking alone takes seconds to resend lost updates.
         is_backlogged = len(queue) > 2 * self._settings.max_updates
-        is_repair_due = is_backlogged and now_s >= self._repair_at_s
-        if not (self._has_new_revision or queue.has_fresh() or is_repair_due):
+        is_repair_due = is_backlogged and now_s >= self._next_repair_s
+        if not (self._has_new_revision or queue.has_unsent() or is_repair_due):
             return
         names = self.list_links()
         if not self._push_budget.take(len(names), now_s):
             return
-        self._push_at_s = now_s + self._settings.push_interval_s
-        self._repair_at_s = now_s + _REPAIR_PUSHES * self._settings.push_interval_s
+        self._next_push_s = now_s + self._settings.push_interval_s
+        self._next_repair_s = now_s + _REPAIR_PUSHES * self._settings.push_interval_s
         self._has_new_revision = False
         count = self._settings.max_pushed_updates
         updates = queue.take(count, len(self.table), copies=len(names))
--- a/src/endivevane/coordination/probes.py
+++ b/src/endivevane/coordination/probes.py
@@ -133,9 +133,9 @@
         for name, probe in self._probes.items():
             if probe.sequence == sequence:
                 del self._probes[name]
-                passed_s = now_s - probe.sent_s
+                elapsed_s = now_s - probe.sent_s
                 self._round_trip_s += _ROUND_TRIP_WEIGHT * (
-                    passed_s - self._round_trip_s
+                    elapsed_s - self._round_trip_s
                 )
                 return name
         return None
--- a/src/endivevane/coordination/shares.py
+++ b/src/endivevane/coordination/shares.py
@@ -72,11 +72,10 @@
     daemons, piggybacked on other messages, and passes what it receives to
     :meth:`receive`.
 
-    While announcements spread within ``propagation_s``, the shares of all daemons add
-    up to
-    the rate at most: a daemon uses the lowest need that it announced during that time
-    for itself, and others use at least as much for it, so its share is at most its
-    part of one common max-min division.
+    While announcements arrive within ``propagation_s``, the sum of all shares does not
+    exceed the rate: for itself a daemon uses the lowest need that it announced during
+    that time, and others use at least as much for it, so its share is at most its part
+    of one common max-min division.
 
     :param first_version: higher than all versions of earlier processes of this name
     """
@@ -121,9 +120,9 @@
         self._members = max(1, len(alive))
         self._is_majority = 2 * len(alive) >= known_count
         until_s = self._clock.monotonic_s() + self.propagation_s
-        for name, known in self._peer_needs.items():
+        for name, peer in self._peer_needs.items():
             if name not in alive:
-                known.expires_s = min(known.expires_s, until_s)
+                peer.expires_s = min(peer.expires_s, until_s)
 
     def set_need(self, need: float) -> None:
         """Set what this daemon uses or requests beyond its floor."""
@@ -142,10 +141,10 @@
 
     def receive(self, need: Need) -> None:
         """Apply an announcement from another daemon."""
-        known = self._peer_needs.get(need.name)
+        peer = self._peer_needs.get(need.name)
         if need.name == self._own.name:
             return
-        if known is not None and need.version <= known.need.version:
+        if peer is not None and need.version <= peer.need.version:
             return
         # A need expires only after five lost refreshes.
         lifetime_s = 5 * self._settings.refresh_s * self._stretch()
@@ -162,8 +161,8 @@
         """
         now_s = self._clock.monotonic_s()
         rate = self._settings.max_entries_per_s
-        gained = (now_s - self._sent_s) * rate
-        self._entry_tokens = min(rate, self._entry_tokens + gained)
+        refill = (now_s - self._sent_s) * rate
+        self._entry_tokens = min(rate, self._entry_tokens + refill)
         self._sent_s = now_s
         count = min(count, int(self._entry_tokens))
         taken: list[Need] = []
@@ -173,9 +172,9 @@
         # Those forwarded the fewest times go first.
         waiting = [item for item in self._peer_needs.values() if item.copies_left]
         waiting.sort(key=lambda item: -item.copies_left)
-        for known in waiting[: count - len(taken)]:
-            known.copies_left -= 1
-            taken.append(known.need)
+        for peer in waiting[: count - len(taken)]:
+            peer.copies_left -= 1
+            taken.append(peer.need)
         self._entry_tokens -= len(taken)
         return tuple(taken)
 
@@ -188,23 +187,23 @@
         self._drop_expired(now_s)
         floor = rate * self._settings.floor_share / self._members
         pool = rate * (1 - self._settings.floor_share)
-        wanted = 0.0
+        desired = 0.0
         if self._is_majority:
             needs = {
-                name: (known.need.need, known.need.weight)
-                for name, known in self._peer_needs.items()
+                name: (peer.need.need, peer.need.weight)
+                for name, peer in self._peer_needs.items()
             }
             own_need = min(need for _, need in self._history)
             needs[self._own.name] = (own_need, self._own.weight)
-            wanted = divide(pool, needs)[self._own.name]
+            desired = divide(pool, needs)[self._own.name]
             if self._count_entries_per_s() > (
                 self._settings.max_stretch * self._settings.max_entries_per_s
             ):
-                wanted = min(wanted, pool / self._members)
+                desired = min(desired, pool / self._members)
         # A decrease takes effect at once. A share that is not requested does not grow.
-        passed_s = min(_MAX_GAP_S, now_s - self._shared_s)
-        grown = passed_s * pool / self._settings.ramp_s
-        self._share = min(wanted, self._share + grown)
+        elapsed_s = min(_MAX_GAP_S, now_s - self._shared_s)
+        growth = elapsed_s * pool / self._settings.ramp_s
+        self._share = min(desired, self._share + growth)
         self._shared_s = now_s
         return floor + self._share
 
@@ -216,13 +215,13 @@
 
     def _count_entries_per_s(self) -> float:
         """Return the rate of announcements of all active daemons without a stretch."""
-        active = 1 + sum(bool(known.need.need) for known in self._peer_needs.values())
+        active = 1 + sum(bool(peer.need.need) for peer in self._peer_needs.values())
         return active * self._settings.copies / self._settings.refresh_s
 
     def _drop_expired(self, now_s: float) -> None:
         """Drop expired needs, and own ones older than the propagation time."""
         for name in [
-            name for name, known in self._peer_needs.items() if known.expires_s <= now_s
+            name for name, peer in self._peer_needs.items() if peer.expires_s <= now_s
         ]:
             del self._peer_needs[name]
         propagated_s = now_s - self.propagation_s
@@ -239,11 +238,11 @@
     :param needs: need and weight by name
     """
     shares: dict[str, float] = {}
-    left = pool
-    weight_left = sum(weight for _, weight in needs.values())
+    remaining = pool
+    remaining_weight = sum(weight for _, weight in needs.values())
     by_level = sorted(needs.items(), key=lambda item: item[1][0] / item[1][1])
     for name, (need, weight) in by_level:
-        shares[name] = min(need, left * weight / weight_left)
-        left -= shares[name]
-        weight_left -= weight
+        shares[name] = min(need, remaining * weight / remaining_weight)
+        remaining -= shares[name]
+        remaining_weight -= weight
     return shares
