--- a/src/endivevane/coordination/register.py
+++ b/src/endivevane/coordination/register.py
@@ -76,8 +76,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Pending:
-    """A deferred change of a claimed row; ``outcome`` is ``None`` for a release."""
+class _Change:
+    """A change of a claimed row; ``outcome`` is ``None`` for a release."""
 
     claim: Claim
     outcome: dict[str, typing.Any] | None
@@ -104,7 +104,7 @@
         self._store = table_store
         self._make_operation_id = make_operation_id
         self._backlog_size = backlog_size
-        self._backlog: collections.deque[_Pending] = collections.deque()
+        self._backlog: collections.deque[_Change] = collections.deque()
         self._lock = threading.Lock()
 
     def claim(
@@ -145,7 +145,7 @@
             return self._interpret_conflict(error, claim)
         if isinstance(error, store.StoreOutcomeUnknown):
             # The row may exist although no call will be sent: release the key later.
-            self._enqueue(_Pending(claim, None))
+            self._enqueue(_Change(claim, None))
         return result.Err(error)
 
     def record(self, claim: Claim, outcome: dict[str, typing.Any]) -> RecordStatus:
@@ -153,11 +153,11 @@
 
         :param outcome: JSON object that later claims of the key return
         """
-        return self._change(_Pending(claim, outcome))
+        return self._apply_or_defer(_Change(claim, outcome))
 
     def release(self, claim: Claim) -> RecordStatus:
         """Release a claim whose call provably did not run, now or later."""
-        return self._change(_Pending(claim, None))
+        return self._apply_or_defer(_Change(claim, None))
 
     def defer(
         self, claim: Claim, outcome: dict[str, typing.Any] | None
@@ -166,7 +166,7 @@
 
         :param outcome: ``None`` releases the claim
         """
-        return self._enqueue(_Pending(claim, outcome))
+        return self._enqueue(_Change(claim, outcome))
 
     def flush(self) -> int:
         """Apply the deferred changes and return the number still pending.
@@ -177,10 +177,10 @@
             with self._lock:
                 if not self._backlog:
                     break
-                pending = self._backlog.popleft()
-            if not self._apply(pending):
+                change = self._backlog.popleft()
+            if not self._apply(change):
                 with self._lock:
-                    self._backlog.appendleft(pending)
+                    self._backlog.appendleft(change)
                 break
         return self.count_pending()
 
@@ -205,21 +205,21 @@
             return result.Ok(Expired(row.value["has_run"]))
         return result.Ok(MayHaveRun(row.value["claimed_ms"]))
 
-    def _change(self, pending: _Pending) -> RecordStatus:
-        if self._apply(pending):
+    def _apply_or_defer(self, change: _Change) -> RecordStatus:
+        if self._apply(change):
             return RecordStatus.STORED
-        return self._enqueue(pending)
+        return self._enqueue(change)
 
-    def _enqueue(self, pending: _Pending) -> RecordStatus:
+    def _enqueue(self, change: _Change) -> RecordStatus:
         with self._lock:
             if len(self._backlog) >= self._backlog_size:
                 return RecordStatus.LOST
-            self._backlog.append(pending)
+            self._backlog.append(change)
             return RecordStatus.DEFERRED
 
-    def _apply(self, pending: _Pending) -> bool:
+    def _apply(self, change: _Change) -> bool:
         """Apply a change; return whether nothing is left to do."""
-        claim = pending.claim
+        claim = change.claim
         revision = claim.revision
         if revision is None:
             reading = self._store.read(TABLE, claim.row_key)
@@ -229,13 +229,13 @@
             if row is None or not _is_own_claim(row, claim):
                 return True
             revision = row.revision
-        if pending.outcome is None:
+        if change.outcome is None:
             return self._delete(claim, revision)
         outcome = store.transact_with_readback(
             self._store,
             f"{claim.operation_id}.outcome",
             [store.Condition(TABLE, claim.row_key, revision)],
-            [store.Write(TABLE, claim.row_key, _make_value(claim, pending.outcome))],
+            [store.Write(TABLE, claim.row_key, _make_value(claim, change.outcome))],
         )
         # A conflict is permanent, so a retry would not help.
         return isinstance(outcome, result.Ok) or isinstance(
